--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub struct Posts {
     /// Invariant: every hand named here is `Waiting`, or gone.
-    lines: BTreeMap<Goal, VecDeque<HandId>>,
+    lines: BTreeMap<Destination, VecDeque<HandId>>,
     sites: BTreeMap<String, Site>,
     /// The duties of reach held, with their epochs.
     held: BTreeMap<Duty, Epoch>,
@@ -59,8 +59,8 @@
     /// is not in force.
     fn span_of(&self, o: &Offer) -> Span {
         let by_charter = match o.stage {
-            Stage::Work => self.link.rules.routes.get(&o.head.route).map_or(Span::ZERO, |r| r.attempt),
-            _ => CALL_BACK_LIMIT,
+            Stage::Pending => self.link.rules.routes.get(&o.head.route).map_or(Span::ZERO, |r| r.attempt),
+            _ => CALLBACK_TIMEOUT,
         };
         o.limited(by_charter)
     }
@@ -77,7 +77,7 @@
     /// Duties of reach that are new here or gone; true when any is.
     pub(super) fn learn_reach(&mut self, grants: &[Grant], now: Time) -> bool {
         let held: BTreeMap<Duty, Epoch> =
-            grants.iter().filter(|g| matches!(g.duty, Duty::Reach(_))).map(|g| (g.duty.clone(), g.epoch)).collect();
+            grants.iter().filter(|g| matches!(g.duty, Duty::TargetShard(_))).map(|g| (g.duty.clone(), g.epoch)).collect();
         if held == self.posts.held {
             return false;
         }
@@ -129,7 +129,7 @@
 
     /// How much of each service this daemon takes from each of `keepers`
     /// stores; none while the charter has no routes.
-    pub(super) fn reach(&self, keepers: usize, now: Time) -> Option<Reach> {
+    pub(super) fn reach(&self, keepers: usize, now: Time) -> Option<RoutedCapacity> {
         if self.link.rules.routes.is_empty() {
             return None;
         }
@@ -144,7 +144,7 @@
             *n = each(*n * 2).max(1);
         }
         let mut addresses: Vec<Duty> = self.link.held.live(now).into_iter().map(|x| x.0).collect();
-        addresses.retain(|d| !shut && matches!(d, Duty::Reach(_)));
+        addresses.retain(|d| !shut && matches!(d, Duty::TargetShard(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
             if shut || self.link.may(&Duty::of_address(&s.address), now).is_none() {
                 continue;
@@ -156,7 +156,7 @@
             };
             services.insert(s.name.clone(), room);
         }
-        Some(Reach { life: self.startup.me.life, services: services.into_iter().collect(), addresses })
+        Some(RoutedCapacity { life: self.startup.me.life, services: services.into_iter().collect(), addresses })
     }
 
     /// Calls open at once to a service's one address.
@@ -168,7 +168,7 @@
     }
 
     /// Takes an offer of a routed message.
-    pub(super) fn on_post(&mut self, id: HandId, goal: Goal, offer: Offer, asked: Time, now: Time) {
+    pub(super) fn on_post(&mut self, id: HandId, goal: Destination, offer: Offer, asked: Time, now: Time) {
         if self.hands.contains_key(&id) || !offer.head.sound(&offer.body) {
             return;
         }
@@ -176,10 +176,10 @@
         if span == Span::ZERO {
             // Its route is not in force here, or not yet.
             self.counts.stale += 1;
-            self.hands.insert(id.clone(), Hand { offer, state: State::Waiting, hard: asked + ROUTED_GRACE });
-            return self.finish(&id, Told::Unstarted, now);
+            self.hands.insert(id.clone(), Hand { offer, state: State::Waiting, hard: asked + MAX_ROUTED_START_DELAY });
+            return self.finish(&id, AttemptOutcome::NotStarted, now);
         }
-        let hard = asked + span + ROUTED_GRACE;
+        let hard = asked + span + MAX_ROUTED_START_DELAY;
         self.posts.lines.entry(goal).or_default().push_back(id.clone());
         self.hands.insert(id, Hand { offer, state: State::Waiting, hard });
     }
@@ -188,24 +188,24 @@
     pub(super) fn return_posts(&mut self, now: Time) {
         for id in std::mem::take(&mut self.posts.lines).into_values().flatten() {
             if self.hands.get(&id).is_some_and(|h| h.state == State::Waiting) {
-                self.finish(&id, Told::Unstarted, now);
+                self.finish(&id, AttemptOutcome::NotStarted, now);
             }
         }
     }
 
     /// Begins what can be begun now.
     pub(super) fn start_posts(&mut self, now: Time) {
-        let goals: Vec<Goal> = self.posts.lines.keys().cloned().collect();
+        let goals: Vec<Destination> = self.posts.lines.keys().cloned().collect();
         for goal in goals {
             while let Some(id) = self.posts.lines.get(&goal).and_then(|l| l.front().cloned()) {
                 let waits = self.hands.get(&id).is_some_and(|h| h.state == State::Waiting);
                 let aim = match (&goal, waits) {
                     (_, false) => None,
-                    (Goal::Address(a), _) => match self.may_address(a, None, now) {
+                    (Destination::Address(a), _) => match self.may_address(a, None, now) {
                         true => Some((a.clone(), Aim::Address(a.clone()))),
                         false => break,
                     },
-                    (Goal::Service(s), _) => match self.match_post(s, now) {
+                    (Destination::Service(s), _) => match self.match_post(s, now) {
                         Some(x) => Some(x),
                         None => break,
                     },
@@ -267,15 +267,17 @@
         let (stage, seal, body) = (h.offer.stage, h.offer.head.seal.clone(), h.offer.body.clone());
         let parcel = h.offer.head.parcel.clone();
         let late = span == Span::ZERO || h.hard.left(now) < span + SLACK;
-        let (false, Some(parcel)) = (late, parcel) else { return self.finish(&id, Told::Unstarted, now) };
+        let (false, Some(parcel)) = (late, parcel) else { return self.finish(&id, AttemptOutcome::NotStarted, now) };
         let worker = match &at {
             Aim::Worker(w) => Some(w.clone()),
             Aim::Address(_) => None,
         };
         let errand = match stage {
-            Stage::Owing(Outcome::Succeeded) => Errand::Tell { parcel, standing: Standing::Done(seal) },
-            Stage::Owing(_) => Errand::Tell { parcel, standing: Standing::Dead },
-            _ => Errand::Run { parcel, worker, span },
+            Stage::EndedAwaitingCallback(Outcome::Succeeded) => {
+                CallKind::Callback { parcel, standing: RoutedMessageStatus::Done(seal) }
+            }
+            Stage::EndedAwaitingCallback(_) => CallKind::Callback { parcel, standing: RoutedMessageStatus::Dead },
+            _ => CallKind::RunMessage { parcel, worker, span },
         };
         match &at {
             Aim::Worker(w) => {
@@ -302,41 +304,41 @@
         }
     }
 
-    pub(super) fn post_back(&mut self, id: HandId, at: Aim, reply: Reply, now: Time) {
+    pub(super) fn post_back(&mut self, id: HandId, at: Aim, reply: CallResult, now: Time) {
         let end = match &reply {
-            Reply::Ran { end, .. } => end.clone(),
-            Reply::Lost(Sent::No) => RunEnd::NotRun { gone: false },
-            _ => RunEnd::Doubt(DoubtCause::Lost),
+            CallResult::RunFinished { end, .. } => end.clone(),
+            CallResult::Failed(SendState::NotSent) => RunOutcome::NotRun { gone: false },
+            _ => RunOutcome::Unknown(UnknownOutcomeCause::CallFailed),
         };
         match &at {
             Aim::Worker(w) => self.hear_post_worker(w, &reply, &end, now),
             Aim::Address(a) => self.hear_site(a, &reply, &end, now),
         }
         match end {
-            RunEnd::Done(seal) => self.finish_sealed(&id, Told::Success, seal, now),
-            RunEnd::Failed => self.finish(&id, Told::Failed, now),
-            RunEnd::Never => self.finish(&id, Told::Never, now),
-            RunEnd::Doubt(cause) => {
+            RunOutcome::Done(seal) => self.finish_sealed(&id, AttemptOutcome::Success, seal, now),
+            RunOutcome::Failed => self.finish(&id, AttemptOutcome::Failed, now),
+            RunOutcome::PermanentFailure => self.finish(&id, AttemptOutcome::PermanentFailure, now),
+            RunOutcome::Unknown(cause) => {
                 self.note_doubt(&id, &at, cause);
-                self.finish(&id, Told::Doubt, now);
+                self.finish(&id, AttemptOutcome::Unknown, now);
             }
-            RunEnd::NotRun { .. } => self.again(id, now),
+            RunOutcome::NotRun { .. } => self.again(id, now),
         }
     }
 
-    fn note_doubt(&mut self, id: &HandId, at: &Aim, cause: DoubtCause) {
+    fn note_doubt(&mut self, id: &HandId, at: &Aim, cause: UnknownOutcomeCause) {
         let Some(hand) = self.hands.get(id) else { return };
         let (place, head, attempt) = (&hand.offer.place, &hand.offer.head, hand.offer.attempt);
         let text = format!("{place} {} attempt {attempt} at {at}: {cause}", head.id);
-        self.out.push(Effect::Note(Note::AttemptInDoubt, text));
+        self.out.push(Effect::Log(LogEvent::AttemptOutcomeUnknown, text));
     }
 
     /// It did not run: another worker may take it at once.
     fn again(&mut self, id: HandId, now: Time) {
         let Some(h) = self.hands.get(&id) else { return };
-        let service = matches!(h.offer.goal, Some(Goal::Service(_)));
+        let service = matches!(h.offer.goal, Some(Destination::Service(_)));
         if !service || h.hard.left(now) < self.least(h) || self.leaving.is_some() {
-            return self.finish(&id, Told::Unstarted, now);
+            return self.finish(&id, AttemptOutcome::NotStarted, now);
         }
         let Some(h) = self.hands.get_mut(&id) else { return };
         h.state = State::Waiting;
@@ -344,60 +346,60 @@
         self.posts.lines.entry(goal).or_default().push_front(id);
     }
 
-    fn hear_post_worker(&mut self, id: &WorkerId, reply: &Reply, end: &RunEnd, now: Time) {
+    fn hear_post_worker(&mut self, id: &WorkerId, reply: &CallResult, end: &RunOutcome, now: Time) {
         let Some(f) = self.workers.get_mut(id) else { return };
         f.busy = f.busy.saturating_sub(1);
         f.seen = now;
-        if let Reply::Ran { load, .. } = reply {
+        if let CallResult::RunFinished { load, .. } = reply {
             f.answered = now;
             f.load = load.as_ref().map_or(f.load, |l| l.running + l.waiting);
         }
         let mut note = None;
         match (reply, end) {
-            (Reply::Lost(Sent::No), _) => {
+            (CallResult::Failed(SendState::NotSent), _) => {
                 if f.down.fail(now) {
-                    note = Some((Note::WorkerEjected, format!("{id} can't be reached")));
+                    note = Some((LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
-            (_, RunEnd::Doubt(_)) => {
+            (_, RunOutcome::Unknown(_)) => {
                 if f.sick.fail(now) {
-                    note = Some((Note::WorkerEjected, id.to_string()));
+                    note = Some((LogEvent::WorkerEjected, id.to_string()));
                 }
             }
-            (_, RunEnd::NotRun { gone: true }) => {
+            (_, RunOutcome::NotRun { gone: true }) => {
                 f.gone = true;
-                note = Some((Note::WorkerEjected, format!("{id} is not there any more")));
+                note = Some((LogEvent::WorkerEjected, format!("{id} is not there any more")));
             }
-            (_, RunEnd::NotRun { gone: false }) => f.full_until = now + FULL,
+            (_, RunOutcome::NotRun { gone: false }) => f.full_until = now + FULL,
             _ => {
                 if f.down.pass() | f.sick.pass() {
-                    note = Some((Note::WorkerBack, id.to_string()));
+                    note = Some((LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
         }
         if let Some((note, text)) = note {
-            self.out.push(Effect::Note(note, text));
+            self.out.push(Effect::Log(note, text));
             self.send_rooms(now);
         }
     }
 
-    fn hear_site(&mut self, addr: &str, reply: &Reply, end: &RunEnd, now: Time) {
+    fn hear_site(&mut self, addr: &str, reply: &CallResult, end: &RunOutcome, now: Time) {
         let Some(s) = self.posts.sites.get_mut(addr) else { return };
         s.open = s.open.saturating_sub(1);
-        if let Reply::Ran { load: Some(l), .. } = reply {
+        if let CallResult::RunFinished { load: Some(l), .. } = reply {
             s.slots = l.slots;
         }
-        let lost = matches!(end, RunEnd::Doubt(_)) || matches!(reply, Reply::Lost(_));
+        let lost = matches!(end, RunOutcome::Unknown(_)) || matches!(reply, CallResult::Failed(_));
         let note = match end {
-            _ if lost => s.breaker.fail(now).then_some(Note::BreakerOpen),
-            RunEnd::NotRun { .. } => {
+            _ if lost => s.breaker.fail(now).then_some(LogEvent::BreakerOpen),
+            RunOutcome::NotRun { .. } => {
                 s.full_until = now + FULL;
                 None
             }
-            _ => s.breaker.pass().then_some(Note::BreakerShut),
+            _ => s.breaker.pass().then_some(LogEvent::BreakerClosed),
         };
         if let Some(note) = note {
-            self.out.push(Effect::Note(note, addr.to_string()));
+            self.out.push(Effect::Log(note, addr.to_string()));
             self.send_rooms(now);
         }
     }
@@ -424,19 +426,19 @@
                 w.probed = now;
             }
             let limit = Span::millis(500);
-            let (headers, body, errand) = (Vec::new(), Bytes::new(), Errand::Health { path });
+            let (headers, body, errand) = (Vec::new(), Bytes::new(), CallKind::HealthCheck { path });
             let call = Call { post: false, addr, path: String::new(), headers, body, limit, errand };
             self.call(Called::Probe { worker }, call);
         }
     }
 
-    pub(super) fn probed(&mut self, id: WorkerId, reply: Reply, now: Time) {
+    pub(super) fn probed(&mut self, id: WorkerId, reply: CallResult, now: Time) {
         let Some(f) = self.workers.get_mut(&id) else { return };
         match reply {
-            Reply::Health { worker: Some(w), .. } if w != id => f.gone = true,
-            Reply::Health { well: true, .. } => {
+            CallResult::Health { worker: Some(w), .. } if w != id => f.gone = true,
+            CallResult::Health { well: true, .. } => {
                 if f.down.pass() {
-                    self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
+                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                     self.send_rooms(now);
                 }
             }
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// What one keeper is told: room for each duty, and the epochs known.
-type Rooms = (Vec<Room>, Vec<(Place, Epoch)>);
+type Rooms = (Vec<Capacity>, Vec<(PartitionId, Epoch)>);
 
 impl Delivery {
     pub(super) fn room(&mut self, duty: &Duty, now: Time) -> u32 {
@@ -10,7 +10,7 @@
             return 0;
         }
         match duty {
-            Duty::Keep(_) | Duty::Reach(_) => 0,
+            Duty::Keep(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(place) => {
                 let Some(rule) = self.link.rules.rule_of(place) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
@@ -52,12 +52,12 @@
             by.entry(x.keeper.clone()).or_default().1.push((p.clone(), x.epoch));
         }
         for (duty, epoch) in self.link.held.live(now) {
-            if matches!(duty, Duty::Reach(_)) {
+            if matches!(duty, Duty::TargetShard(_)) {
                 continue;
             }
             let room = self.room(&duty, now);
             let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
-            let one = Room { duty: duty.clone(), epoch, room, since };
+            let one = Capacity { duty: duty.clone(), epoch, room, since };
             for (keeper, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
                     Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.keeper == *keeper),
@@ -73,14 +73,14 @@
             if duties.is_empty() && reach.is_none() {
                 continue;
             }
-            let here: BTreeSet<&Place> = places.iter().map(|p| &p.0).collect();
+            let here: BTreeSet<&PartitionId> = places.iter().map(|p| &p.0).collect();
             let holding = self
                 .hands
                 .values()
                 .filter(|h| here.contains(&h.offer.place))
-                .map(|h| Holding { place: h.offer.place.clone(), id: h.offer.head.id.clone() })
+                .map(|h| InFlightAttempt { place: h.offer.place.clone(), id: h.offer.head.id.clone() })
                 .collect();
-            self.say(&keeper, Msg::Room { asked: now, duties, places, holding, reach: reach.clone() });
+            self.say(&keeper, PeerMessage::Capacity { asked: now, duties, places, holding, reach: reach.clone() });
         }
     }
 }
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -9,7 +9,7 @@
 
 impl Delivery {
     pub(super) fn learn_workers(&mut self, now: Time) {
-        if self.link.vector().get(Source::Workers) == Version::ZERO {
+        if self.link.vector().get(Topic::Workers) == Version::ZERO {
             return;
         }
         let list = self.link.workers.clone();
@@ -44,19 +44,19 @@
     /// New cuts between the slices. A slot at a warming worker that comes over
     /// from another delivery counts as just used there.
     pub(super) fn learn_slices(&mut self, grants: &[Grant], now: Time) {
-        let next: BTreeMap<Duty, Slice> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slice?))).collect();
+        let next: BTreeMap<Duty, SlotRange> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slice?))).collect();
         if next == self.slices {
             return;
         }
         let warming: BTreeSet<String> =
             self.workers.values().filter(|w| w.ramp.warming(now)).map(|w| w.info.service.clone()).collect();
-        let before: BTreeMap<String, Vec<Slice>> = warming.into_iter().map(|s| (s.clone(), self.slices_of(&s))).collect();
+        let before: BTreeMap<String, Vec<SlotRange>> = warming.into_iter().map(|s| (s.clone(), self.slices_of(&s))).collect();
         self.slices = next;
         for (service, was) in before {
             let (full, new) = (self.full(&service), self.slices_of(&service));
             for w in self.workers.values_mut().filter(|w| w.info.service == service && w.ramp.warming(now)) {
                 let slots = w.ramp.slots(full, now);
-                let mine = |all: &[Slice]| all.iter().map(|s| s.of(slots, w.turn)).sum::<u32>();
+                let mine = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.turn)).sum::<u32>();
                 if mine(&new) > mine(&was) {
                     w.ramp.last = now;
                 }
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn peers(&self) -> u32 {
-        (self.link.members.keys().filter(|d| d.kind() == Kind::Delivery).count() as u32).max(1)
+        (self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).count() as u32).max(1)
     }
 
     /// What one worker may run at once, over all deliveries.
@@ -75,24 +75,25 @@
 
     /// The slices of a service that this daemon's duties have. Granted by a
     /// placement daemon that knows none, the duties share evenly.
-    pub(super) fn slices_of(&self, service: &str) -> Vec<Slice> {
-        let takes = |p: &Place| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
+    pub(super) fn slices_of(&self, service: &str) -> Vec<SlotRange> {
+        let takes =
+            |p: &PartitionId| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
         let mine = self.slices.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if takes(p)));
-        let all: Vec<Slice> = mine.map(|x| *x.1).collect();
+        let all: Vec<SlotRange> = mine.map(|x| *x.1).collect();
         if !all.is_empty() || !self.slices.is_empty() {
             return all;
         }
-        let all: Vec<&Daemon> = self.link.members.keys().filter(|d| d.kind() == Kind::Delivery).collect();
+        let all: Vec<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         let at = all.iter().position(|d| **d == self.startup.me.id).unwrap_or(0) as u32;
-        let wide = Slice::WHOLE / self.peers();
-        vec![Slice { from: at * wide, to: (at + 1) * wide }]
+        let wide = SlotRange::WHOLE / self.peers();
+        vec![SlotRange { from: at * wide, to: (at + 1) * wide }]
     }
 
     /// The less loaded of two drawn at random, same zone first where the
     /// charter says so. Of two that are alike the one left alone for longer:
     /// chance alone would now and then give one of them all that comes in a
     /// second, which a worker that warms up must not get.
-    pub(super) fn match_worker(&mut self, service: &str, slices: &[Slice], now: Time) -> Option<WorkerId> {
+    pub(super) fn match_worker(&mut self, service: &str, slices: &[SlotRange], now: Time) -> Option<WorkerId> {
         let full = self.full(service);
         let wary = self.listed.is_none_or(|t| now.since(t) < WARY);
         let near = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
@@ -159,16 +160,16 @@
                 headers: Vec::new(),
                 body: Bytes::new(),
                 limit: Span::millis(800),
-                errand: Errand::Plain,
+                errand: CallKind::Plain,
             };
             self.call(Called::Load { worker }, call);
         }
     }
 
-    pub(super) fn hear_worker(&mut self, id: &WorkerId, reply: &Reply, load_only: bool, now: Time) {
+    pub(super) fn hear_worker(&mut self, id: &WorkerId, reply: &CallResult, load_only: bool, now: Time) {
         let Some(f) = self.workers.get_mut(id) else { return };
         match reply {
-            Reply::Got { code, load, draining, .. } => {
+            CallResult::Answered { code, load, draining, .. } => {
                 if load_only {
                     f.note_silence(now);
                 }
@@ -178,31 +179,31 @@
                 if f.down.pass() {
                     // Back from the dead: it warms up anew.
                     f.ramp.since = now;
-                    self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
+                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
                 let Some(f) = self.workers.get_mut(id) else { return };
                 if *code >= 500 && *code != 503 {
                     if f.sick.fail(now) {
-                        self.out.push(Effect::Note(Note::WorkerEjected, id.to_string()));
+                        self.out.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                     }
                 } else if !load_only && f.sick.pass() {
                     // One that answered all the while, if badly, is no fresh one.
                     if std::mem::take(&mut f.lost) {
                         f.ramp.since = now;
                     }
-                    self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
+                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
-            Reply::Ran { .. } | Reply::Listed(_) | Reply::Health { .. } => {}
-            Reply::Lost(Sent::No) => {
+            CallResult::RunFinished { .. } | CallResult::WorkerList(_) | CallResult::Health { .. } => {}
+            CallResult::Failed(SendState::NotSent) => {
                 if f.down.fail(now) {
-                    self.out.push(Effect::Note(Note::WorkerEjected, format!("{id} can't be reached")));
+                    self.out.push(Effect::Log(LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
-            Reply::Lost(Sent::Maybe) => {
+            CallResult::Failed(SendState::MaybeSent) => {
                 f.lost = true;
                 if f.sick.fail(now) {
-                    self.out.push(Effect::Note(Note::WorkerEjected, id.to_string()));
+                    self.out.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                 }
             }
         }
--- a/crates/delivery/tests/answers_and_news.rs
+++ b/crates/delivery/tests/answers_and_news.rs
@@ -2,7 +2,7 @@
 //! each order. Issue 32: whatever the order, a success that was read is told as
 //! one, and no doubt is told of its attempt.
 mod told;
-use dw_delivery::prelude::{Event, Reply, RunEnd, Span, Told as End};
+use dw_delivery::prelude::{AttemptOutcome as End, CallResult, Event, RunOutcome, Span};
 use told::{Known, Told};
 
 /// What may change while an attempt is under way.
@@ -58,7 +58,7 @@
         Change::Worker => known.worker = false,
         Change::Route => known.route = false,
         Change::Grant => known.granted = false,
-        Change::Stop => return told.step(Event::Leave),
+        Change::Stop => return told.step(Event::Shutdown),
         Change::Time => return told.run(Span::millis(1_200)),
     }
     told.tell(*known);
@@ -66,8 +66,8 @@
 
 fn answer(told: &mut Told) {
     let (call, _) = told.begun[0];
-    let done = Reply::Ran { end: RunEnd::Done("seal".into()), load: None };
-    told.step(Event::Back(call, done));
+    let done = CallResult::RunFinished { end: RunOutcome::Done("seal".into()), load: None };
+    told.step(Event::CallFinished(call, done));
 }
 
 #[test]
--- a/crates/delivery/tests/told/mod.rs
+++ b/crates/delivery/tests/told/mod.rs
@@ -14,8 +14,8 @@
     Daemon(name.to_string())
 }
 
-fn place() -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
 }
 
 fn epoch(count: u64) -> Epoch {
@@ -28,8 +28,8 @@
         zone: Zone("z1".into()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        life: IncarnationId(1),
+        disk: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -71,8 +71,8 @@
     pub cold: Span,
     pub slots: u32,
     pub begun: Vec<(CallId, Call)>,
-    pub holding: Vec<Holding>,
-    pub settled: Vec<Settled>,
+    pub holding: Vec<InFlightAttempt>,
+    pub settled: Vec<AttemptResult>,
 }
 
 impl Told {
@@ -104,10 +104,10 @@
     pub fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Call(id, call) if matches!(call.errand, Errand::Run { .. }) => self.begun.push((id, call)),
-                Effect::Say(_, Msg::Need { asked, .. }) => self.asked = asked,
-                Effect::Say(_, Msg::Room { holding, .. }) => self.holding = holding,
-                Effect::Say(_, Msg::Settled { all }) => self.settled.extend(all),
+                Effect::Call(id, call) if matches!(call.errand, CallKind::RunMessage { .. }) => self.begun.push((id, call)),
+                Effect::Send(_, PeerMessage::Pull { asked, .. }) => self.asked = asked,
+                Effect::Send(_, PeerMessage::Capacity { holding, .. }) => self.holding = holding,
+                Effect::Send(_, PeerMessage::AttemptResults { all }) => self.settled.extend(all),
                 _ => {}
             }
         }
@@ -117,7 +117,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += Span::millis(20);
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 
@@ -129,21 +129,21 @@
     pub fn tell(&mut self, known: Known) {
         self.told += 1;
         let version = Version { term: TERM, count: self.told };
-        let placing = Placing { keeper: daemon(&format!("store-{}", known.keeper)), epoch: epoch(known.keeper) };
+        let placing = PartitionLocation { keeper: daemon(&format!("store-{}", known.keeper)), epoch: epoch(known.keeper) };
         let charter = if known.route { ROUTES } else { NO_ROUTES };
         let items = vec![
-            (version, Item::Charter(charter.to_string())),
-            (version, Item::Members(vec![member("delivery-1"), member("store-1"), member("store-2")])),
-            (version, Item::Places(vec![(place(), placing)])),
-            (version, Item::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
+            (version, Update::Charter(charter.to_string())),
+            (version, Update::Members(vec![member("delivery-1"), member("store-1"), member("store-2")])),
+            (version, Update::Partitions(vec![(place(), placing)])),
+            (version, Update::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
         ];
         let duty = Duty::of_worker(&worker().zone, &worker().id);
         let (set, swap_number) = (Vec::new(), Version::ZERO);
         let grant = Grant { duty, epoch: epoch(1), set, swap: None, swap_number, shed: false, slice: None };
         let grants = known.granted.then_some(grant).into_iter().collect();
         let (asked, fresh) = (self.asked, Some(Span::secs(2)));
-        let msg = Msg::News { asked, term: TERM, fresh, items, grants, late: Vec::new() };
-        self.step(Event::Hear { from: daemon("placement-1"), msg });
+        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh, items, grants, late: Vec::new() };
+        self.step(Event::MessageReceived { from: daemon("placement-1"), msg });
     }
 
     fn worker(&self) -> Worker {
@@ -161,26 +161,26 @@
 
     pub fn offer_numbered(&mut self, route: &str, attempt: u64) {
         let body = Bytes::from_static(b"body");
-        let head = Head {
+        let head = MessageHeader {
             id: MessageId("0-1".into()),
             crc: crc32(&body),
             len: body.len() as u32,
             route: route.into(),
             parcel: Some(Box::default()),
-            ..Head::default()
+            ..MessageHeader::default()
         };
         let offer = Offer {
-            duty: Duty::Reach(String::new()),
+            duty: Duty::TargetShard(String::new()),
             place: place(),
             head,
-            stage: Stage::Work,
+            stage: Stage::Pending,
             epoch: epoch(1),
             attempt,
             body,
-            goal: Some(Goal::Service("sheets".into())),
+            goal: Some(Destination::Service("sheets".into())),
             limit: Span::secs(1),
         };
-        let msg = Msg::Offers { asked: self.now, all: vec![offer] };
-        self.step(Event::Hear { from: daemon("store-1"), msg });
+        let msg = PeerMessage::Offers { asked: self.now, all: vec![offer] };
+        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
     }
 }
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -14,8 +14,8 @@
     Daemon(name.to_string())
 }
 
-fn place() -> Place {
-    Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
 }
 
 fn epoch() -> Epoch {
@@ -28,8 +28,8 @@
         zone: Zone("z1".into()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        life: IncarnationId(1),
+        disk: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -90,21 +90,21 @@
     fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Say(_, Msg::Need { asked, .. }) => {
+                Effect::Send(_, PeerMessage::Pull { asked, .. }) => {
                     self.asked = asked;
                     self.tell();
                 }
                 Effect::Call(id, call) => {
                     let name = call.addr.split(':').next().unwrap().to_string();
                     if self.down.as_ref() == Some(&name) {
-                        self.step(Event::Back(id, Reply::Lost(Sent::No)));
+                        self.step(Event::CallFinished(id, CallResult::Failed(SendState::NotSent)));
                         continue;
                     }
                     if call.path == "/run" {
                         self.got.push((name, self.now));
                     }
-                    let reply = Reply::Got { code: 200, load: Some(0), draining: false, body: Bytes::new() };
-                    self.step(Event::Back(id, reply));
+                    let reply = CallResult::Answered { code: 200, load: Some(0), draining: false, body: Bytes::new() };
+                    self.step(Event::CallFinished(id, reply));
                 }
                 _ => {}
             }
@@ -114,42 +114,42 @@
     fn tell(&mut self) {
         let version = Version { term: TERM, count: 1 };
         let items = vec![
-            (version, Item::Charter(CHARTER.to_string())),
-            (version, Item::Members(vec![member("delivery-1"), member("store-1")])),
-            (version, Item::Places(vec![(place(), Placing { keeper: daemon("store-1"), epoch: epoch() })])),
-            (version, Item::Workers(self.workers.iter().map(|w| worker(w)).collect())),
+            (version, Update::Charter(CHARTER.to_string())),
+            (version, Update::Members(vec![member("delivery-1"), member("store-1")])),
+            (version, Update::Partitions(vec![(place(), PartitionLocation { keeper: daemon("store-1"), epoch: epoch() })])),
+            (version, Update::Workers(self.workers.iter().map(|w| worker(w)).collect())),
         ];
         let (duty, set, swap_number) = (Duty::Deliver(place()), Vec::new(), Version::ZERO);
         let grant = Grant { duty, epoch: epoch(), set, swap: None, swap_number, shed: false, slice: None };
         let (asked, fresh) = (self.asked, Some(Span::secs(2)));
-        let msg = Msg::News { asked, term: TERM, fresh, items, grants: vec![grant], late: Vec::new() };
-        self.step(Event::Hear { from: daemon("placement-1"), msg });
+        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh, items, grants: vec![grant], late: Vec::new() };
+        self.step(Event::MessageReceived { from: daemon("placement-1"), msg });
     }
 
     fn run(&mut self, span: Span) {
         let end = self.now + span;
         while self.now < end {
             self.now += Span::millis(20);
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 
     fn offer(&mut self) {
         self.offered += 1;
-        let head = Head { id: MessageId(format!("m{}", self.offered)), crc: crc32(b""), ..Head::default() };
+        let head = MessageHeader { id: MessageId(format!("m{}", self.offered)), crc: crc32(b""), ..MessageHeader::default() };
         let offer = Offer {
             duty: Duty::Deliver(place()),
             place: place(),
             head,
-            stage: Stage::Work,
+            stage: Stage::Pending,
             epoch: epoch(),
             attempt: self.offered,
             body: Bytes::new(),
             goal: None,
             limit: Span::millis(1500),
         };
-        let msg = Msg::Offers { asked: self.now, all: vec![offer] };
-        self.step(Event::Hear { from: daemon("store-1"), msg });
+        let msg = PeerMessage::Offers { asked: self.now, all: vec![offer] };
+        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
     }
 
     fn count(&self, worker: &str) -> usize {
--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -1,10 +1,10 @@
 //! The versions of placement's hard state.
 use super::*;
 use dw_placement::hard_files::{Found, HardFiles};
-use dw_placement::prelude::{HardState, Mark, Order, Term};
+use dw_placement::prelude::{HardState, IncarnationId, Order, Term};
 use proptest::prelude::*;
 
-const MARK: Mark = Mark(7);
+const MARK: IncarnationId = IncarnationId(7);
 
 fn state(term: u64) -> HardState<Order> {
     HardState { term: Term(term), ..HardState::fresh(MARK) }
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -11,8 +11,8 @@
     Daemon(name.to_string())
 }
 
-fn place() -> Place {
-    Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
 }
 
 fn startup() -> Startup {
@@ -22,8 +22,8 @@
         zone: Zone("z1".into()),
         addr: String::new(),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        life: IncarnationId(1),
+        disk: IncarnationId(0),
     };
     Startup {
         me,
@@ -42,9 +42,9 @@
     }
 }
 
-fn put(number: u64) -> Op {
+fn put(number: u64) -> PartitionOp {
     let body = Bytes::from(format!("body of {number}"));
-    let head = Head {
+    let head = MessageHeader {
         id: MessageId(format!("m{number}")),
         key: String::new(),
         seq: number,
@@ -58,16 +58,16 @@
         delay: Span::ZERO,
         seal: String::new(),
     };
-    Op::Put(head, Stage::Work, body)
+    PartitionOp::Put(head, Stage::Pending, body)
 }
 
 /// The keeper's ops, and what the follower acknowledged of them.
 #[derive(Default)]
 struct Keeper {
-    ops: Vec<Op>,
+    ops: Vec<PartitionOp>,
     made: u64,
     acknowledged: u64,
-    mark: Option<Mark>,
+    mark: Option<IncarnationId>,
     fresh: u64,
 }
 
@@ -77,21 +77,23 @@
         let mut records = BTreeMap::new();
         for op in &self.ops[..n as usize] {
             match op {
-                Op::Put(head, stage, _) => _ = records.insert(head.id.clone(), *stage),
-                Op::Stage(id, stage) | Op::Sealed(id, stage, _) => _ = records.insert(id.clone(), *stage),
-                Op::Drop(id) => _ = records.remove(id),
+                PartitionOp::Put(head, stage, _) => _ = records.insert(head.id.clone(), *stage),
+                PartitionOp::SetStage(id, stage) | PartitionOp::SetStageWithToken(id, stage, _) => {
+                    _ = records.insert(id.clone(), *stage)
+                }
+                PartitionOp::Remove(id) => _ = records.remove(id),
             }
         }
         records
     }
 
     /// A new op: messages come, end and are dropped, most of them soon.
-    fn next_op(&mut self, dice: &mut Dice) -> Op {
+    fn next_op(&mut self, dice: &mut Dice) -> PartitionOp {
         let records = self.records(self.ops.len() as u64);
         let pick = records.iter().nth(dice.below(records.len().max(1) as u64) as usize);
         match (pick, dice.below(8)) {
-            (Some((id, Stage::Work)), 3..=4) => Op::Stage(id.clone(), Stage::Ended(Outcome::Succeeded)),
-            (Some((id, _)), 5..=7) => Op::Drop(id.clone()),
+            (Some((id, Stage::Pending)), 3..=4) => PartitionOp::SetStage(id.clone(), Stage::Ended(Outcome::Succeeded)),
+            (Some((id, _)), 5..=7) => PartitionOp::Remove(id.clone()),
             _ => {
                 self.made += 1;
                 put(self.made)
@@ -101,7 +103,7 @@
 
     fn hear(&mut self, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Say(_, Msg::Appended { epoch: EPOCH, upto, mark, .. }) = effect else { continue };
+            let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, upto, mark, .. }) = effect else { continue };
             self.acknowledged = self.acknowledged.max(*upto);
             self.mark = Some(*mark);
         }
@@ -111,12 +113,18 @@
     fn live(&mut self, directory: &ModelDirectory, dice: &mut Dice) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
         self.fresh += 1;
-        let (mut store, effects) = Store::new(startup(), &files, Mark(self.fresh), Time(1));
+        let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.fresh), Time(1));
         store.ledger.fold_at = 3;
         self.judge(&store)?;
         directory.power_for(1 + dice.below(120));
         if self.settle(directory, &folder, &mut store, effects) {
-            let lag = Msg::Lag { place: place(), epoch: EPOCH, was: Some((Epoch::ZERO, 0)), mark: store.mark, short: false };
+            let lag = PeerMessage::Lagging {
+                place: place(),
+                epoch: EPOCH,
+                was: Some((Epoch::ZERO, 0)),
+                mark: store.mark,
+                short: false,
+            };
             let mut alive = self.tell(directory, &folder, &mut store, lag);
             while alive {
                 let first = store.parts[&place()].n + 1;
@@ -126,7 +134,7 @@
                 }
                 directory.full_for(dice.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
-                let append = Msg::Append { place: place(), epoch: EPOCH, first, ops };
+                let append = PeerMessage::Append { place: place(), epoch: EPOCH, first, ops };
                 alive = self.tell(directory, &folder, &mut store, append);
             }
         }
@@ -150,8 +158,8 @@
         Ok(())
     }
 
-    fn tell(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, msg: Msg) -> bool {
-        let effects = store.step(Event::Hear { from: daemon("store-2"), msg }, Time(2));
+    fn tell(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, msg: PeerMessage) -> bool {
+        let effects = store.step(Event::MessageReceived { from: daemon("store-2"), msg }, Time(2));
         self.settle(directory, folder, store, effects)
     }
 
--- a/crates/election/src/configuration.rs
+++ b/crates/election/src/configuration.rs
@@ -6,7 +6,7 @@
 pub struct Voter {
     /// The mark of the data directory that counts. Answers that come from
     /// any other directory under the same name do not count.
-    pub mark: Mark,
+    pub mark: IncarnationId,
     /// Where other replicas reach it. Kept here so that a group that restarts
     /// as a whole finds itself again, whatever its seed lists say.
     pub address: String,
@@ -62,12 +62,12 @@
     }
 
     /// Whether this replica, with this data directory, is a voter.
-    pub fn is_voter(&self, daemon: &Daemon, mark: Mark) -> bool {
+    pub fn is_voter(&self, daemon: &Daemon, mark: IncarnationId) -> bool {
         self.sets().any(|set| set.get(daemon).is_some_and(|voter| voter.mark == mark))
     }
 
     /// Whether those who agree form a quorum of each set.
-    pub fn has_quorum(&self, agrees: impl Fn(&Daemon, Mark) -> bool) -> bool {
+    pub fn has_quorum(&self, agrees: impl Fn(&Daemon, IncarnationId) -> bool) -> bool {
         let majority = |set: &Voters| {
             let count = set.iter().filter(|(daemon, voter)| agrees(daemon, voter.mark)).count();
             count > set.len() / 2
@@ -77,7 +77,7 @@
 
     /// The highest value that a quorum of each set has reached; `None` where
     /// a quorum has no value at all.
-    pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(&Daemon, Mark) -> Option<T>) -> Option<T> {
+    pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(&Daemon, IncarnationId) -> Option<T>) -> Option<T> {
         let reached = |set: &Voters| {
             let mut values: Vec<T> = set.iter().filter_map(|(daemon, voter)| value(daemon, voter.mark)).collect();
             values.sort_by(|a, b| b.cmp(a));
--- a/crates/election/src/earlier_format.rs
+++ b/crates/election/src/earlier_format.rs
@@ -8,12 +8,12 @@
 #[serde(untagged)]
 pub enum StoredConfiguration {
     Current { voters: Voters, outgoing: Option<Voters> },
-    Earlier(BTreeMap<Daemon, Mark>),
+    Earlier(BTreeMap<Daemon, IncarnationId>),
 }
 
 /// A voter whose address is not recorded; its seed list or its own messages
 /// tell where it is.
-fn without_address(mark: Mark) -> Voter {
+fn without_address(mark: IncarnationId) -> Voter {
     Voter { mark, ..Voter::default() }
 }
 
--- a/crates/election/src/hard_state.rs
+++ b/crates/election/src/hard_state.rs
@@ -14,7 +14,7 @@
     #[serde(alias = "Do")]
     Apply(C),
     /// Only read, never written: see [`crate::earlier_format`].
-    Admit(Daemon, Mark),
+    Admit(Daemon, IncarnationId),
     /// Only read, never written: see [`crate::earlier_format`].
     Expel(Daemon),
 }
@@ -46,7 +46,7 @@
 /// never held a state of the group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HardState<C> {
-    pub mark: Mark,
+    pub mark: IncarnationId,
     pub founded: bool,
     pub term: Term,
     pub vote: Option<Daemon>,
@@ -57,7 +57,7 @@
 
 impl<C> HardState<C> {
     /// The state of an empty data directory.
-    pub fn fresh(mark: Mark) -> HardState<C> {
+    pub fn fresh(mark: IncarnationId) -> HardState<C> {
         HardState { mark, founded: false, term: Term(0), vote: None, snapshot: Snapshot::default(), log: Vec::new() }
     }
     /// The index of the last entry.
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -49,13 +49,13 @@
         pre_vote: bool,
         term: Term,
         granted: bool,
-        mark: Mark,
+        mark: IncarnationId,
     },
     Append(AppendRequest<C>),
     AppendResponse {
         term: Term,
         outcome: AppendOutcome,
-        mark: Mark,
+        mark: IncarnationId,
         sent: Time,
     },
     /// The leader of this term leaves: whoever hears this may campaign at
@@ -74,11 +74,11 @@
     },
     /// "I am about to stop": a voter asks to be replaced first.
     Leave {
-        mark: Mark,
+        mark: IncarnationId,
     },
     /// The leader's answer: nothing more is gained by waiting.
     LeaveAccepted {
-        mark: Mark,
+        mark: IncarnationId,
     },
 }
 
--- a/crates/election/src/progress.rs
+++ b/crates/election/src/progress.rs
@@ -9,7 +9,7 @@
     /// The last entry known to be durable there and equal to ours.
     pub matched: u64,
     /// The data directory that `matched` speaks of.
-    pub mark: Mark,
+    pub mark: IncarnationId,
     /// The latest request, by our clock when it was sent, that was answered.
     pub heard: Time,
     /// It asked for the snapshot, or what it lacks is no longer in the log.
@@ -32,7 +32,7 @@
         Progress {
             next,
             matched: 0,
-            mark: Mark(0),
+            mark: IncarnationId(0),
             heard: Time(0),
             needs_snapshot: false,
             replicating: false,
@@ -50,9 +50,9 @@
 
     /// Takes the mark and time of an answer; says whether the answer counts.
     /// A late answer of an earlier data directory is dropped.
-    pub fn observe(&mut self, mark: Mark, sent: Time) -> bool {
+    pub fn observe(&mut self, mark: IncarnationId, sent: Time) -> bool {
         if self.mark != mark {
-            if self.mark != Mark(0) && sent <= self.heard {
+            if self.mark != IncarnationId(0) && sent <= self.heard {
                 return false;
             }
             // What the earlier directory held is gone.
--- a/crates/election/src/replica.rs
+++ b/crates/election/src/replica.rs
@@ -80,7 +80,7 @@
     heartbeats: u64,
     join_due: Time,
     elected: Time,
-    votes: BTreeMap<Daemon, Mark>,
+    votes: BTreeMap<Daemon, IncarnationId>,
     progress: BTreeMap<Daemon, Progress>,
     founders: BTreeMap<Daemon, Voter>,
     /// Hosts that are to be taken away: their replicas must not be voters.
--- a/crates/election/src/replica/leading.rs
+++ b/crates/election/src/replica/leading.rs
@@ -33,7 +33,7 @@
 
     /// When the lease that a quorum's answers give ends; `None` without one.
     pub(super) fn lease_end(&self) -> Option<Time> {
-        let answered = |daemon: &Daemon, mark: Mark| {
+        let answered = |daemon: &Daemon, mark: IncarnationId| {
             if *daemon == self.settings.id {
                 return (mark == self.state.mark).then_some(Time(u64::MAX));
             }
@@ -151,7 +151,7 @@
         from: Daemon,
         term: Term,
         outcome: AppendOutcome,
-        mark: Mark,
+        mark: IncarnationId,
         sent: Time,
         now: Time,
     ) {
@@ -182,7 +182,7 @@
 
     /// Commits what a quorum holds durably, in the current term only.
     pub(super) fn advance_commit(&mut self, now: Time) {
-        let held = |daemon: &Daemon, mark: Mark| {
+        let held = |daemon: &Daemon, mark: IncarnationId| {
             if *daemon == self.settings.id {
                 return (mark == self.state.mark).then_some(self.durable);
             }
--- a/crates/election/src/replica/membership.rs
+++ b/crates/election/src/replica/membership.rs
@@ -89,7 +89,7 @@
         self.send(leader, Message::Join { voter });
     }
 
-    pub(super) fn on_leave(&mut self, from: Daemon, mark: Mark, now: Time) {
+    pub(super) fn on_leave(&mut self, from: Daemon, mark: IncarnationId, now: Time) {
         if self.role != Role::Leader {
             return;
         }
--- a/crates/election/src/replica/voting.rs
+++ b/crates/election/src/replica/voting.rs
@@ -80,7 +80,15 @@
         self.send(from, Message::VoteResponse { pre_vote, term, granted, mark });
     }
 
-    pub(super) fn on_vote_response(&mut self, from: Daemon, pre_vote: bool, term: Term, granted: bool, mark: Mark, now: Time) {
+    pub(super) fn on_vote_response(
+        &mut self,
+        from: Daemon,
+        pre_vote: bool,
+        term: Term,
+        granted: bool,
+        mark: IncarnationId,
+        now: Time,
+    ) {
         let denied_before_campaign = pre_vote && !granted && self.role == Role::PreCandidate;
         if (!pre_vote || denied_before_campaign) && term > self.state.term {
             return self.adopt_term(term, now);
--- a/crates/election/tests/earlier_format.rs
+++ b/crates/election/tests/earlier_format.rs
@@ -4,7 +4,7 @@
 /// The earlier form, as that version declared it.
 #[derive(Serialize)]
 struct EarlierState {
-    mark: Mark,
+    mark: IncarnationId,
     founded: bool,
     term: Term,
     vote: Option<Daemon>,
@@ -15,7 +15,7 @@
 struct EarlierBase {
     index: u64,
     term: Term,
-    members: BTreeMap<Daemon, Mark>,
+    members: BTreeMap<Daemon, IncarnationId>,
     data: bytes::Bytes,
 }
 #[derive(Serialize)]
@@ -27,7 +27,7 @@
 #[allow(dead_code)]
 enum EarlierItem {
     Open,
-    Admit(Daemon, Mark),
+    Admit(Daemon, IncarnationId),
     Expel(Daemon),
     Do(u32),
 }
@@ -37,21 +37,21 @@
     let daemon = |n: u64| Daemon(format!("placement-{n}"));
     let entry = |item| EarlierEntry { term: Term(3), item };
     let earlier = EarlierState {
-        mark: Mark(1),
+        mark: IncarnationId(1),
         founded: true,
         term: Term(3),
         vote: Some(daemon(1)),
         base: EarlierBase {
             index: 7,
             term: Term(2),
-            members: (1..=3).map(|n| (daemon(n), Mark(n))).collect(),
+            members: (1..=3).map(|n| (daemon(n), IncarnationId(n))).collect(),
             data: vec![4, 5].into(),
         },
         log: vec![
             entry(EarlierItem::Open),
             entry(EarlierItem::Expel(daemon(2))),
             entry(EarlierItem::Do(6)),
-            entry(EarlierItem::Admit(daemon(2), Mark(9))),
+            entry(EarlierItem::Admit(daemon(2), IncarnationId(9))),
         ],
     };
     let mut bytes = Vec::new();
@@ -60,12 +60,12 @@
     let state = read.upgraded();
     assert_eq!(state.last_index(), 11);
     assert_eq!(state.snapshot.data.as_ref(), [4, 5]);
-    assert_eq!(state.snapshot.configuration.voters[&daemon(2)].mark, Mark(2));
+    assert_eq!(state.snapshot.configuration.voters[&daemon(2)].mark, IncarnationId(2));
     assert_eq!(state.entry(10).unwrap().command, Command::Apply(6));
     let (index, configuration) = state.configuration_at(9);
     assert_eq!((index, configuration.voters.len()), (9, 2));
     let (index, configuration) = state.configuration_at(11);
-    assert_eq!((index, configuration.voters[&daemon(2)].mark), (11, Mark(9)));
+    assert_eq!((index, configuration.voters[&daemon(2)].mark), (11, IncarnationId(9)));
     // What is written now is read back as it is.
     let mut bytes = Vec::new();
     ciborium::into_writer(&state, &mut bytes).unwrap();
--- a/crates/election/tests/election.rs
+++ b/crates/election/tests/election.rs
@@ -103,7 +103,7 @@
 #[test]
 fn installing_a_snapshot_keeps_acknowledged_entries_behind_it() {
     let entry = |command| Entry { term: Term(2), command: Command::Apply(command) };
-    let mut state: HardState<u32> = HardState::fresh(Mark(1));
+    let mut state: HardState<u32> = HardState::fresh(IncarnationId(1));
     state.founded = true;
     state.log = (1..=5).map(entry).collect();
     let snapshot = Snapshot { index: 3, term: Term(2), ..Snapshot::default() };
@@ -111,7 +111,7 @@
     assert_eq!(state.last_index(), 5);
     assert_eq!(state.entry(4), Some(&entry(4)));
     // A log that disagrees gives way as a whole.
-    let mut other = HardState::fresh(Mark(1));
+    let mut other = HardState::fresh(IncarnationId(1));
     other.founded = true;
     other.log = (1..=5).map(|n| Entry { term: Term(1), command: Command::Apply(n) }).collect();
     other.install(snapshot);
--- a/crates/election/tests/explorer/ledger.rs
+++ b/crates/election/tests/explorer/ledger.rs
@@ -11,15 +11,15 @@
 pub enum Violation {
     TwoLeadersInTerm { term: Term, machines: [Machine; 2] },
     TwoReplicasMayAct { machines: Vec<Machine> },
-    VotedTwice { term: Term, mark: Mark },
+    VotedTwice { term: Term, mark: IncarnationId },
     ElectedWithoutQuorum { term: Term, machine: Machine },
     CommittedWithoutQuorum { index: u64, machine: Machine },
     CommittedEntriesDiffer { index: u64, machine: Machine },
     LeaderLacksCommitted { index: u64, machine: Machine },
-    DiskLostCommitted { index: u64, mark: Mark },
+    DiskLostCommitted { index: u64, mark: IncarnationId },
     SnapshotDiffers { index: u64, machine: Machine },
     TooFewVoters { index: u64, voters: usize },
-    LostMarkCountsAgain { index: u64, mark: Mark },
+    LostMarkCountsAgain { index: u64, mark: IncarnationId },
     NoLeaderAfterHealing,
     NoLeaderAfterOneMoreLoss { lost: Machine },
     AcknowledgedCommandLost { index: u64 },
@@ -37,18 +37,18 @@
 pub struct Ledger {
     leaders: BTreeMap<Term, Machine>,
     /// Durable votes by the data directory that cast them.
-    votes: BTreeMap<(Term, Mark), Daemon>,
+    votes: BTreeMap<(Term, IncarnationId), Daemon>,
     /// The data directories in which an entry was ever durable.
-    holders: BTreeMap<(u64, Term), BTreeSet<Mark>>,
+    holders: BTreeMap<(u64, Term), BTreeSet<IncarnationId>>,
     /// The latest snapshot that was ever durable in a data directory.
-    covered: BTreeMap<Mark, u64>,
+    covered: BTreeMap<IncarnationId, u64>,
     pub committed: BTreeMap<u64, Entry<u32>>,
     /// The latest committed configuration.
     pub configuration: Configuration,
     /// Marks of data directories that no longer exist.
-    pub lost_marks: BTreeSet<Mark>,
+    pub lost_marks: BTreeSet<IncarnationId>,
     /// Lost marks that a committed configuration has given up.
-    retired_marks: BTreeSet<Mark>,
+    retired_marks: BTreeSet<IncarnationId>,
 }
 
 impl Ledger {
@@ -58,7 +58,7 @@
     }
 
     /// A data directory that was taken for lost is there again.
-    pub fn on_return(&mut self, mark: Mark) {
+    pub fn on_return(&mut self, mark: IncarnationId) {
         self.lost_marks.remove(&mark);
         self.retired_marks.remove(&mark);
     }
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    fn ever_held(&self, index: u64, term: Term, mark: Mark) -> bool {
+    fn ever_held(&self, index: u64, term: Term, mark: IncarnationId) -> bool {
         let in_log = self.holders.get(&(index, term)).is_some_and(|marks| marks.contains(&mark));
         in_log || self.covered.get(&mark).is_some_and(|covered| *covered >= index)
     }
@@ -128,7 +128,7 @@
         if let Some(index) = self.first_missing(state) {
             return Err(Violation::LeaderLacksCommitted { index, machine });
         }
-        let voted = |_: &Daemon, mark: Mark| self.votes.get(&(term, mark)) == Some(daemon);
+        let voted = |_: &Daemon, mark: IncarnationId| self.votes.get(&(term, mark)) == Some(daemon);
         if !state.configuration_at(state.last_index()).1.has_quorum(voted) {
             return Err(Violation::ElectedWithoutQuorum { term, machine });
         }
@@ -171,11 +171,11 @@
         if voters < FEWEST_VOTERS {
             return Err(Violation::TooFewVoters { index, voters });
         }
-        let named: BTreeSet<Mark> = configuration.members().map(|(_, voter)| voter.mark).collect();
+        let named: BTreeSet<IncarnationId> = configuration.members().map(|(_, voter)| voter.mark).collect();
         if let Some(mark) = named.intersection(&self.retired_marks).next() {
             return Err(Violation::LostMarkCountsAgain { index, mark: *mark });
         }
-        let before: BTreeSet<Mark> = self.configuration.members().map(|(_, voter)| voter.mark).collect();
+        let before: BTreeSet<IncarnationId> = self.configuration.members().map(|(_, voter)| voter.mark).collect();
         let given_up = before.difference(&named).filter(|mark| self.lost_marks.contains(mark));
         self.retired_marks.extend(given_up);
         self.configuration = configuration.clone();
--- a/crates/election/tests/explorer/world.rs
+++ b/crates/election/tests/explorer/world.rs
@@ -9,8 +9,8 @@
 use super::breakage::{broken_change, cleared_log};
 use super::{Breakage, Kind, Ledger, Step, Violation};
 use dw_election::prelude::{
-    Action, AppendOutcome, AppendRequest, Command, Configuration, Daemon, Entry, HardState, Mark, MembershipPolicy, Message,
-    Replica, ReplicaSettings, Role, Snapshot, Span, Term, Time, Timing, VecDeque, Voter, Zone,
+    Action, AppendOutcome, AppendRequest, Command, Configuration, Daemon, Entry, HardState, IncarnationId, MembershipPolicy,
+    Message, Replica, ReplicaSettings, Role, Snapshot, Span, Term, Time, Timing, VecDeque, Voter, Zone,
 };
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -89,7 +89,7 @@
     daemon.as_str().rsplit('-').next()?.parse().ok()
 }
 
-fn voter(machine: Machine, mark: Mark, zone: usize) -> Voter {
+fn voter(machine: Machine, mark: IncarnationId, zone: usize) -> Voter {
     Voter { mark, address: format!("{}:7000", name(machine)), zone: Zone(format!("zone-{zone}")) }
 }
 
@@ -110,7 +110,7 @@
     /// Three voters that were founded together and run, and spare replicas
     /// with empty disks.
     pub fn founded(spares: usize, target_voters: usize, random_seed: u64) -> World {
-        let voters = (1..=3).map(|machine| (name(machine), voter(machine, Mark(machine as u64), machine % ZONES)));
+        let voters = (1..=3).map(|machine| (name(machine), voter(machine, IncarnationId(machine as u64), machine % ZONES)));
         let configuration = Configuration::of(voters.collect());
         let mut world = World {
             now: BEGINNING,
@@ -199,7 +199,7 @@
     }
 
     fn fresh_disk(&mut self) -> HardState<u32> {
-        let mark = Mark(self.next_mark);
+        let mark = IncarnationId(self.next_mark);
         self.next_mark += 1;
         HardState::fresh(mark)
     }
--- a/crates/election/tests/harness/mod.rs
+++ b/crates/election/tests/harness/mod.rs
@@ -62,8 +62,8 @@
         }
     }
     /// Starts a replica on an empty disk.
-    pub fn start_empty(&mut self, daemon: &Daemon, bootstrap: bool) -> Mark {
-        let mark = Mark(self.next_mark);
+    pub fn start_empty(&mut self, daemon: &Daemon, bootstrap: bool) -> IncarnationId {
+        let mark = IncarnationId(self.next_mark);
         self.next_mark += 1;
         self.disks.insert(daemon.clone(), HardState::fresh(mark));
         self.start(daemon, bootstrap);
--- a/crates/ingest/src/proxy/outage.rs
+++ b/crates/ingest/src/proxy/outage.rs
@@ -32,7 +32,7 @@
 pub struct Outages {
     silent: BTreeMap<Daemon, Silence>,
     /// Partitions without a keeper, and since when.
-    unkept: BTreeMap<Place, Time>,
+    unkept: BTreeMap<PartitionId, Time>,
 }
 
 impl Outages {
@@ -45,7 +45,7 @@
     }
 
     /// It answered that it does not keep the partition: nothing was written.
-    pub fn note_elsewhere(&mut self, keeper: Option<&Daemon>, place: &Place, now: Time) {
+    pub fn note_elsewhere(&mut self, keeper: Option<&Daemon>, place: &PartitionId, now: Time) {
         self.unkept.entry(place.clone()).or_insert(now);
         if let Some(keeper) = keeper {
             let silence = Silence { since: now, avoided_until: now + AVOIDED_ELSEWHERE, probed: now };
@@ -59,7 +59,7 @@
     }
 
     /// A message was taken in this partition.
-    pub fn taken(&mut self, place: &Place) {
+    pub fn taken(&mut self, place: &PartitionId) {
         self.unkept.remove(place);
     }
 
@@ -84,7 +84,7 @@
     /// no copy is on its way, when its verdict is wanted within `wanted`:
     /// through a hand-over, but not for the end of a failure, as it would be
     /// refused late then.
-    pub fn patience(&self, place: &Place, wanted: Span, now: Time) -> Span {
+    pub fn patience(&self, place: &PartitionId, wanted: Span, now: Time) -> Span {
         let begun = self.unkept.get(place).copied().unwrap_or(now);
         match now.since(begun) < HAND_OVER {
             true => wanted.times(2),
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -14,7 +14,7 @@
 /// Looked for again after this, and given up after that.
 const SOUGHT: Span = Span::millis(1700);
 
-fn short(why: &str) -> Verdict {
+fn short(why: &str) -> ApiResponse {
     verdicts::not_taken(503, why, Some(Span::secs(1)))
 }
 
@@ -46,7 +46,15 @@
         (!fit.is_empty()).then(|| fit[self.next as usize % fit.len()])
     }
 
-    pub(super) fn on_post(&mut self, ask: AskId, parcel: Box<Parcel>, delay: Span, desk: String, body: Bytes, now: Time) {
+    pub(super) fn on_post(
+        &mut self,
+        ask: RequestId,
+        parcel: Box<CallerRequest>,
+        delay: Span,
+        desk: String,
+        body: Bytes,
+        now: Time,
+    ) {
         self.counts.handed += 1;
         if !self.link.fresh(now) {
             self.counts.refused += 1;
@@ -89,7 +97,7 @@
             self.counts.refused += 1;
             return self.tell(ask, short("the store that keeps this key's messages does not answer"));
         }
-        let head = Head {
+        let head = MessageHeader {
             id: self.name(part),
             key,
             crc: crc32(&body),
@@ -99,7 +107,7 @@
             parcel: Some(parcel),
             born: self.wall(now),
             delay,
-            ..Head::default()
+            ..MessageHeader::default()
         };
         let limit = Span((route.verdict.0 * PATIENCE).max(LEAST.0)).min(self.startup.limit);
         let carry = Carry {
@@ -171,7 +179,7 @@
         self.close(n, short("no store keeps this partition just now"));
     }
 
-    pub(super) fn on_seek(&mut self, ask: AskId, name: String, body: bool, now: Time) {
+    pub(super) fn on_seek(&mut self, ask: RequestId, name: String, body: bool, now: Time) {
         self.counts.looked += 1;
         let part = name.split_once('-').and_then(|(p, _)| u32::from_str_radix(p, 16).ok());
         let Some(part) = part.filter(|p| *p < self.link.rules.spool || self.link.rules.spool == 0) else {
--- a/crates/ingest/src/proxy/relay.rs
+++ b/crates/ingest/src/proxy/relay.rs
@@ -15,7 +15,7 @@
 ) -> Option<Daemon> {
     let keeper_zone = keeper.and_then(|k| link.zone_of(k));
     let shares_a_side = |store: &Member| store.zone == link.me.zone || Some(&store.zone) == keeper_zone;
-    let stores = link.members.values().filter(|m| m.id.kind() == Kind::Store);
+    let stores = link.members.values().filter(|m| m.id.kind() == DaemonKind::Store);
     let untried = stores.filter(|m| Some(&m.id) != keeper && !tried.contains(&m.id));
     untried.min_by_key(|m| (shares_a_side(m), outages.avoids(&m.id, now))).map(|m| m.id.clone())
 }
--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -11,25 +11,25 @@
 fn proxy(now: Time) -> Proxy {
     let mut p = Proxy::new(startup(now));
     let v = Version { term: Term(1), count: 1 };
-    let placing = |d: &str| Placing { keeper: Daemon(d.into()), epoch: v };
+    let placing = |d: &str| PartitionLocation { keeper: Daemon(d.into()), epoch: v };
     let places = vec![(Rules::spool_place(0), placing("store-1")), (Rules::spool_place(1), placing("store-2"))];
     let items = vec![
-        (v, Item::Charter(CHARTER.into())),
-        (v, Item::Members(vec![member("store-1", "z1"), member("store-2", "z1"), member("store-3", "z2")])),
-        (v, Item::Places(places)),
+        (v, Update::Charter(CHARTER.into())),
+        (v, Update::Members(vec![member("store-1", "z1"), member("store-2", "z1"), member("store-3", "z2")])),
+        (v, Update::Partitions(places)),
     ];
     let fresh = Some(Span::secs(60));
     // News counts only when it was asked for.
-    p.step(Event::Clock, now);
-    let msg = Msg::News { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
-    p.step(Event::Hear { from: Daemon("agent-1".into()), msg }, now);
+    p.step(Event::Tick, now);
+    let msg = PeerMessage::PullResponse { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
+    p.step(Event::MessageReceived { from: Daemon("agent-1".into()), msg }, now);
     p
 }
 
 /// The copies sent: their numbers, the stores, and the message's name.
 fn copies(out: &[Effect]) -> Vec<(u64, Daemon, MessageId)> {
     let one = |e: &Effect| match e {
-        Effect::Say(to, Msg::Carry { ask, head, .. }) => Some((*ask, to.clone(), head.id.clone())),
+        Effect::Send(to, PeerMessage::Submit { ask, head, .. }) => Some((*ask, to.clone(), head.id.clone())),
         _ => None,
     };
     out.iter().filter_map(one).collect()
@@ -37,27 +37,32 @@
 
 fn told(out: &[Effect]) -> Option<u16> {
     out.iter().find_map(|e| match e {
-        Effect::Tell(_, v) => Some(v.code),
+        Effect::Respond(_, v) => Some(v.code),
         _ => None,
     })
 }
 
 fn post(p: &mut Proxy, path: &str, key: &str, now: Time) -> Vec<Effect> {
-    let parcel = Parcel {
+    let parcel = CallerRequest {
         method: "POST".into(),
         path: path.into(),
         host: "h".into(),
         id: "x".into(),
         key: key.into(),
-        ..Parcel::default()
+        ..CallerRequest::default()
     };
-    let ask = Ask::Post { parcel: Box::new(parcel), delay: Span::ZERO, desk: String::new(), body: Bytes::from_static(b"b") };
-    p.step(Event::Ask(AskId(1), ask), now)
+    let ask = ApiRequest::SubmitRouted {
+        parcel: Box::new(parcel),
+        delay: Span::ZERO,
+        desk: String::new(),
+        body: Bytes::from_static(b"b"),
+    };
+    p.step(Event::Request(RequestId(1), ask), now)
 }
 
-fn word(p: &mut Proxy, copy: &(u64, Daemon, MessageId), word: Carried, now: Time) -> Vec<Effect> {
-    let msg = Msg::Carried { ask: copy.0, proxy: Daemon("proxy-1".into()), via: None, word, clock: None };
-    p.step(Event::Hear { from: copy.1.clone(), msg }, now)
+fn word(p: &mut Proxy, copy: &(u64, Daemon, MessageId), word: SubmitOutcome, now: Time) -> Vec<Effect> {
+    let msg = PeerMessage::SubmitResponse { ask: copy.0, proxy: Daemon("proxy-1".into()), via: None, word, clock: None };
+    p.step(Event::MessageReceived { from: copy.1.clone(), msg }, now)
 }
 
 #[test]
@@ -68,7 +73,7 @@
         let out = post(&mut p, path, "k", now);
         let first = copies(&out);
         assert_eq!(first.len(), 1);
-        let out = word(&mut p, &first[0], Carried::Unknown, now);
+        let out = word(&mut p, &first[0], SubmitOutcome::Unknown, now);
         assert_eq!(told(&out), Some(504), "{path}");
     }
 }
@@ -76,14 +81,14 @@
 #[test]
 fn nor_after_another_copy_was_written_nowhere() {
     let now = Time::millis(1_000_000);
-    for last in [Carried::Elsewhere, Carried::NotTaken { why: "full".into(), after: Span::ZERO, code: 503 }] {
+    for last in [SubmitOutcome::NotLeader, SubmitOutcome::Rejected { why: "full".into(), after: Span::ZERO, code: 503 }] {
         let mut p = proxy(now);
         let first = copies(&post(&mut p, "/a/1", "", now));
         // No word for a while: a second copy goes another way.
         let later = now + Span::millis(200);
-        let second = copies(&p.step(Event::Clock, later));
+        let second = copies(&p.step(Event::Tick, later));
         assert_eq!(second.len(), 1);
-        assert_eq!(told(&word(&mut p, &first[0], Carried::Unknown, later)), None);
+        assert_eq!(told(&word(&mut p, &first[0], SubmitOutcome::Unknown, later)), None);
         let out = word(&mut p, &second[0], last, later);
         assert_eq!(told(&out), Some(504));
         assert!(copies(&out).is_empty(), "sent under another name though it may be written");
@@ -95,10 +100,10 @@
     let now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/a/1", "", now));
-    let again = copies(&word(&mut p, &first[0], Carried::Elsewhere, now));
+    let again = copies(&word(&mut p, &first[0], SubmitOutcome::NotLeader, now));
     assert_eq!(again.len(), 1);
     assert_ne!((&first[0].1, &first[0].2), (&again[0].1, &again[0].2));
-    let out = word(&mut p, &again[0], Carried::Accepted { stage: Stage::Work }, now);
+    let out = word(&mut p, &again[0], SubmitOutcome::Accepted { stage: Stage::Pending }, now);
     assert_eq!(told(&out), Some(202));
 }
 
@@ -107,7 +112,7 @@
     let now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/a/1", "", now));
-    let out = word(&mut p, &first[0], Carried::NotTaken { why: "full".into(), after: Span::secs(1), code: 503 }, now);
+    let out = word(&mut p, &first[0], SubmitOutcome::Rejected { why: "full".into(), after: Span::secs(1), code: 503 }, now);
     assert_eq!(told(&out), Some(503));
 }
 
@@ -116,12 +121,12 @@
     let begun = now;
     while now.since(begun) < span {
         now += Span::millis(20);
-        let out = p.step(Event::Clock, now);
+        let out = p.step(Event::Tick, now);
         if let Some(code) = told(&out) {
             return Some((code, now.since(begun)));
         }
         for copy in copies(&out) {
-            if let Some(code) = told(&word(p, &copy, Carried::Elsewhere, now)) {
+            if let Some(code) = told(&word(p, &copy, SubmitOutcome::NotLeader, now)) {
                 return Some((code, now.since(begun)));
             }
         }
@@ -136,11 +141,11 @@
     let mut now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/o/1", "k", now));
-    assert_eq!(told(&word(&mut p, &first[0], Carried::Elsewhere, now)), None);
+    assert_eq!(told(&word(&mut p, &first[0], SubmitOutcome::NotLeader, now)), None);
     assert_eq!(run_until_told(&mut p, now, Span::secs(2)), Some((503, Span::millis(160))));
     now += Span::millis(400);
     let later = copies(&post(&mut p, "/o/1", "k", now));
-    assert_eq!(told(&word(&mut p, &later[0], Carried::Elsewhere, now)), None);
+    assert_eq!(told(&word(&mut p, &later[0], SubmitOutcome::NotLeader, now)), None);
     assert_eq!(run_until_told(&mut p, now, Span::secs(2)), Some((503, Span::millis(20))));
 }
 
@@ -149,12 +154,12 @@
     let mut now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/o/1", "k", now));
-    assert_eq!(told(&word(&mut p, &first[0], Carried::Elsewhere, now)), None);
+    assert_eq!(told(&word(&mut p, &first[0], SubmitOutcome::NotLeader, now)), None);
     now += Span::millis(140);
-    let again = copies(&p.step(Event::Clock, now));
+    let again = copies(&p.step(Event::Tick, now));
     assert_eq!(again.len(), 1);
     assert_eq!(first[0].2, again[0].2, "under another name");
-    let out = word(&mut p, &again[0], Carried::Accepted { stage: Stage::Work }, now);
+    let out = word(&mut p, &again[0], SubmitOutcome::Accepted { stage: Stage::Pending }, now);
     assert_eq!(told(&out), Some(202));
 }
 
@@ -164,8 +169,8 @@
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/o/1", "k", now));
     let keeper = first[0].1.clone();
-    word(&mut p, &first[0], Carried::Accepted { stage: Stage::Work }, now);
-    p.step(Event::Cut(keeper.clone()), now);
+    word(&mut p, &first[0], SubmitOutcome::Accepted { stage: Stage::Pending }, now);
+    p.step(Event::PeerDisconnected(keeper.clone()), now);
     // It may be back at once, or be reached by another way.
     now += Span::millis(100);
     assert_eq!(copies(&post(&mut p, "/o/1", "k", now)).len(), 1);
@@ -178,9 +183,15 @@
         assert_eq!((told(&out), copies(&out).len()), (Some(503), 0));
     }
     // Its word ends that.
-    let reading = Reading { life: Mark(7), at: now };
+    let reading = ClockReading { life: IncarnationId(7), at: now };
     let clock = Some((keeper.clone(), reading));
-    let msg = Msg::Carried { ask: probe[0].0, proxy: Daemon("proxy-1".into()), via: None, word: Carried::Elsewhere, clock };
-    p.step(Event::Hear { from: keeper, msg }, now);
+    let msg = PeerMessage::SubmitResponse {
+        ask: probe[0].0,
+        proxy: Daemon("proxy-1".into()),
+        via: None,
+        word: SubmitOutcome::NotLeader,
+        clock,
+    };
+    p.step(Event::MessageReceived { from: keeper, msg }, now);
     assert_eq!(copies(&post(&mut p, "/o/1", "k", now)).len(), 1);
 }
--- a/crates/ingest/tests/relay.rs
+++ b/crates/ingest/tests/relay.rs
@@ -15,22 +15,22 @@
     let version = Version { term: Term(1), count: 1 };
     let stores =
         [("store-1", "z1"), ("store-2", "z2"), ("store-3", "z1"), ("store-4", "z2"), ("store-5", "z3"), ("store-6", "z3")];
-    let place = Place { tenant: "t".into(), waitlist: "w".into(), part: 0 };
-    let placing = Placing { keeper: Daemon("store-2".into()), epoch: version };
+    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), part: 0 };
+    let placing = PartitionLocation { keeper: Daemon("store-2".into()), epoch: version };
     let items = vec![
-        (version, Item::Charter(CHARTER.into())),
-        (version, Item::Members(stores.iter().map(|(id, zone)| member(id, zone)).collect())),
-        (version, Item::Places(vec![(place, placing)])),
+        (version, Update::Charter(CHARTER.into())),
+        (version, Update::Members(stores.iter().map(|(id, zone)| member(id, zone)).collect())),
+        (version, Update::Partitions(vec![(place, placing)])),
     ];
-    proxy.step(Event::Clock, now);
+    proxy.step(Event::Tick, now);
     let fresh = Some(Span::secs(60));
-    let news = Msg::News { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
-    proxy.step(Event::Hear { from: Daemon("agent-1".into()), msg: news }, now);
+    let news = PeerMessage::PullResponse { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
+    proxy.step(Event::MessageReceived { from: Daemon("agent-1".into()), msg: news }, now);
     proxy
 }
 
 fn hand() -> Event {
-    let ask = Ask::Hand {
+    let ask = ApiRequest::Submit {
         tenant: "t".into(),
         waitlist: "w".into(),
         id: MessageId("m".into()),
@@ -40,22 +40,28 @@
         first: true,
         body: Bytes::from_static(b"b"),
     };
-    Event::Ask(AskId(1), ask)
+    Event::Request(RequestId(1), ask)
 }
 
 fn look() -> Event {
-    let ask = Ask::Look { tenant: "t".into(), waitlist: "w".into(), id: MessageId("m".into()), key: String::new(), body: false };
-    Event::Ask(AskId(2), ask)
+    let ask = ApiRequest::Lookup {
+        tenant: "t".into(),
+        waitlist: "w".into(),
+        id: MessageId("m".into()),
+        key: String::new(),
+        body: false,
+    };
+    Event::Request(RequestId(2), ask)
 }
 
 /// The stores that are asked one after the other while none answers.
 fn asked(proxy: &mut Proxy, first: Event, turns: u64, now: Time) -> Vec<String> {
     let mut out = proxy.step(first, now);
     for turn in 1..=turns {
-        out.extend(proxy.step(Event::Clock, now + SECOND.times(turn)));
+        out.extend(proxy.step(Event::Tick, now + SECOND.times(turn)));
     }
     let store = |effect: &Effect| match effect {
-        Effect::Say(to, Msg::Carry { .. } | Msg::Peek { .. }) => Some(to.to_string()),
+        Effect::Send(to, PeerMessage::Submit { .. } | PeerMessage::Lookup { .. }) => Some(to.to_string()),
         _ => None,
     };
     out.iter().filter_map(store).collect()
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -6,7 +6,15 @@
 
 pub fn member(id: &str, zone: &str) -> Member {
     let (id, zone) = (Daemon(id.into()), Zone(zone.into()));
-    Member { id, zone, addr: "10.0.0.1:1".into(), http: String::new(), life: Mark(7), disk: Mark(0), machine: String::new() }
+    Member {
+        id,
+        zone,
+        addr: "10.0.0.1:1".into(),
+        http: String::new(),
+        life: IncarnationId(7),
+        disk: IncarnationId(0),
+        machine: String::new(),
+    }
 }
 
 pub fn startup(now: Time) -> Startup {
--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -27,7 +27,7 @@
 
     fn successor_is_there(&self, now: Time) -> bool {
         let recent = |store: &Daemon| self.seen.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_WITHIN);
-        let mut stores = self.hard.of(Kind::Store).map(|member| &member.id);
+        let mut stores = self.hard.of(DaemonKind::Store).map(|member| &member.id);
         stores.any(|store| recent(store) && self.live(store, now) && self.seats_of(store) == 0)
     }
 
@@ -35,7 +35,7 @@
     /// that one has taken its first seat, and after it has gone silent.
     pub(super) fn mark_departing(&mut self, now: Time) {
         let stopping: BTreeSet<Daemon> =
-            self.hard.of(Kind::Store).map(|member| member.id.clone()).filter(|store| self.stopping(store)).collect();
+            self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.stopping(store)).collect();
         self.replacements.departing.retain(|store| stopping.contains(store));
         if stopping.len() > self.replacements.departing.len() && self.successor_is_there(now) {
             let seated = stopping.into_iter().filter(|store| self.seats_of(store) > 0).collect::<Vec<_>>();
@@ -49,9 +49,9 @@
         if self.office == Office::Serving {
             self.mark_departing(now);
         }
-        let seated = |set: &[(Daemon, Mark)]| set.iter().any(|seat| seat.0 == *store);
+        let seated = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
         let mut places = self.hard.layout.iter().filter(|(_, set)| seated(set)).map(|(place, _)| place);
         let wait = places.any(|place| self.office != Office::Serving || self.wanted_swap(place, now).is_some());
-        self.say(store, Msg::Departure { term: self.election.term(), wait });
+        self.say(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -12,7 +12,7 @@
 
 /// The zone a duty belongs to, if it belongs to one.
 pub fn home_of(duty: &Duty) -> Option<Zone> {
-    let Duty::Reach(name) = duty else { return None };
+    let Duty::TargetShard(name) = duty else { return None };
     let (zone, _) = name.rsplit_once('/')?;
     (!zone.is_empty()).then(|| Zone(zone.to_string()))
 }
@@ -56,7 +56,7 @@
     /// Deliveries among which a duty may be evened out: those of its own zone
     /// while any of them is live.
     pub(super) fn homes(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
-        let all = || self.hard.of(Kind::Delivery).map(|m| m.id.clone());
+        let all = || self.hard.of(DaemonKind::Delivery).map(|m| m.id.clone());
         let near: Vec<Daemon> = all().filter(|d| !self.abroad(duty, d) && self.live(d, now)).collect();
         if near.is_empty() {
             return all().collect();
@@ -70,7 +70,7 @@
         let home: Vec<Duty> = held
             .iter()
             .filter(|(duty, holder)| self.abroad(duty, holder) && !self.kept_away(duty, now))
-            .filter(|(duty, _)| self.hard.of(Kind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id)))
+            .filter(|(duty, _)| self.hard.of(DaemonKind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id)))
             .map(|(duty, _)| duty.clone())
             .take(HOMEWARD)
             .collect();
@@ -97,7 +97,7 @@
         let (here, there) = (at(d), at(&apart.holder));
         match duty {
             _ if *d == apart.holder => 3,
-            Duty::Endpoint(_) | Duty::Reach(_) => u8::from(here == there || here == apart.zone),
+            Duty::Endpoint(_) | Duty::TargetShard(_) => u8::from(here == there || here == apart.zone),
             _ => u8::from(here != apart.zone),
         }
     }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -43,7 +43,7 @@
     absent: BTreeSet<Daemon>,
     /// Stores that were told to stop and whose seats a successor takes.
     pub departing: BTreeSet<Daemon>,
-    swaps: BTreeMap<Place, Swap>,
+    swaps: BTreeMap<PartitionId, Swap>,
     count: u64,
 }
 
@@ -58,7 +58,7 @@
             count: 0,
         }
     }
-    pub fn swap(&self, place: &Place) -> Option<&Swap> {
+    pub fn swap(&self, place: &PartitionId) -> Option<&Swap> {
         self.swaps.get(place)
     }
     /// Whether no seat has to move on account of stores that are gone.
@@ -100,12 +100,12 @@
             let recent = self.seen.get(&m.id).is_some_and(|s| now.since(s.since) < NEW);
             recent && self.live(&m.id, now) && self.seats_of(&m.id) == 0
         };
-        let patience = match self.hard.of(Kind::Store).any(newcomer) {
+        let patience = match self.hard.of(DaemonKind::Store).any(newcomer) {
             true => REPLACED,
             false => MOVED,
         };
         let lively = self.lively();
-        let stores: Vec<Daemon> = self.hard.of(Kind::Store).map(|m| m.id.clone()).collect();
+        let stores: Vec<Daemon> = self.hard.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
         self.replacements.absent.retain(|d| stores.contains(d));
         for store in stores {
             let silence = self.silence(&store, now);
@@ -125,7 +125,7 @@
         if self.replacements.idle() && self.hard.retiring.is_empty() && !narrow {
             return;
         }
-        let places: Vec<Place> = self.hard.layout.keys().cloned().collect();
+        let places: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
         for place in places {
             let stands = self.replacements.swaps.get(&place).map(|s| (s.out.clone(), s.joiner.clone()));
             // An order under way may still be committed: until then the one
@@ -150,7 +150,7 @@
 
     /// The seat of a partition that should move, and where to. One that is
     /// gone or about to go is first: a retiring one still counts meanwhile.
-    pub(super) fn wanted_swap(&self, place: &Place, now: Time) -> Option<(Daemon, Daemon)> {
+    pub(super) fn wanted_swap(&self, place: &PartitionId, now: Time) -> Option<(Daemon, Daemon)> {
         let set = self.hard.layout.get(place)?;
         let stores = || set.iter().map(|s| &s.0);
         let gone = stores().find(|d| self.absent(d)).or_else(|| stores().find(|d| self.departing(d)));
@@ -164,14 +164,14 @@
     /// How many stores a write set should have, of those that are there.
     fn wanted_width(&self, now: Time) -> usize {
         let stays = |m: &&Member| self.live(&m.id, now) && !self.retiring(&m.id) && !self.departing(&m.id);
-        self.startup.tolerates.replicas(self.hard.of(Kind::Store).filter(stays).count())
+        self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(stays).count())
     }
 
     /// The store that takes one more seat in a write set of fewer than `width`
     /// stores, laid out when there were fewer. One at a time: a majority of the
     /// set before and one of the set after always have a store in common. A
     /// seat that has to move goes first.
-    fn wanted_seat(&self, place: &Place, width: usize, now: Time) -> Option<(Daemon, Daemon)> {
+    fn wanted_seat(&self, place: &PartitionId, width: usize, now: Time) -> Option<(Daemon, Daemon)> {
         let set = self.hard.layout.get(place)?;
         let moves = |d: &Daemon| self.absent(d) || self.departing(d) || self.retiring(d);
         if set.len() >= width || set.iter().any(|seat| moves(&seat.0)) {
@@ -183,7 +183,7 @@
 
     /// Whether a write set would have more of its seats in one zone if
     /// `joiner` took the seat of `out`.
-    fn crowds(&self, set: &[(Daemon, Mark)], out: &Daemon, joiner: &Daemon) -> bool {
+    fn crowds(&self, set: &[(Daemon, IncarnationId)], out: &Daemon, joiner: &Daemon) -> bool {
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| &m.zone);
         let fullest = |stores: &[&Daemon]| {
             let mut counts: BTreeMap<Option<&Zone>, usize> = BTreeMap::new();
@@ -199,17 +199,17 @@
 
     /// The store that would take `out`'s seat in a partition's write set: one
     /// that is live, from the zone with the fewest seats of the set.
-    pub(super) fn heir(&self, place: &Place, out: &Daemon, now: Time) -> Option<Daemon> {
+    pub(super) fn heir(&self, place: &PartitionId, out: &Daemon, now: Time) -> Option<Daemon> {
         self.joiner(place, Some(out), now)
     }
 
-    fn joiner(&self, place: &Place, out: Option<&Daemon>, now: Time) -> Option<Daemon> {
+    fn joiner(&self, place: &PartitionId, out: Option<&Daemon>, now: Time) -> Option<Daemon> {
         let set = self.hard.layout.get(place)?;
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| m.zone.clone());
         let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != out).map(|s| zone(&s.0)).collect();
         let seats_in = |z: &Zone| zones.iter().filter(|x| x.as_ref() == Some(z)).count();
         self.hard
-            .of(Kind::Store)
+            .of(DaemonKind::Store)
             .filter(|m| Some(&m.id) != out && self.live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
             .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{place}@{}", m.id).as_bytes())))
             .map(|m| m.id.clone())
@@ -217,7 +217,14 @@
 
     /// A keeper's word that `store` holds a partition whole: the seat moves if
     /// that copy was made under the replacement that is under way.
-    pub(super) fn move_seat(&mut self, keeper: &Daemon, report: &Report, place: &Place, put: (Daemon, Mark), now: Time) {
+    pub(super) fn move_seat(
+        &mut self,
+        keeper: &Daemon,
+        report: &Report,
+        place: &PartitionId,
+        put: (Daemon, IncarnationId),
+        now: Time,
+    ) {
         let Some(swap) = self.replacements.swap(place) else { return };
         let current = report.swaps.contains(&(place.clone(), swap.number));
         if !current || swap.joiner != put.0 || swap.out == *keeper {
@@ -225,8 +232,8 @@
         }
         let out = swap.out.clone();
         let order = match out == put.0 {
-            true => Order::Widen { place: place.clone(), put },
-            false => Order::Reseat { place: place.clone(), out: out.clone(), put },
+            true => Order::AddStore { place: place.clone(), put },
+            false => Order::ReplaceStore { place: place.clone(), out: out.clone(), put },
         };
         self.propose_once(reseat_key(place, &out), order, now);
     }
@@ -237,7 +244,7 @@
         let leaving: Vec<Daemon> = self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
         for store in leaving {
             if self.seats_of(&store) == 0 {
-                let order = Order::Retire { store: store.clone(), state: Retirement::Done };
+                let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
                 self.propose_once(format!("retired {store}"), order, now);
             }
             let kept = |d: &Duty, g: &Daemon| matches!(d, Duty::Keep(_)) && *g == store;
@@ -254,15 +261,15 @@
     /// Gives up on members that are gone for good: whoever takes over would
     /// wait for their reports.
     fn forget_gone(&mut self, now: Time) {
-        let gone = |d: &&Daemon| d.kind() != Kind::Placement && self.silence(d, now) > FORGOTTEN && self.seats_of(d) == 0;
+        let gone = |d: &&Daemon| d.kind() != DaemonKind::Placement && self.silence(d, now) > FORGOTTEN && self.seats_of(d) == 0;
         let gone: Vec<Daemon> = self.hard.members.keys().filter(gone).cloned().collect();
         for daemon in gone {
-            self.propose_once(format!("forget {daemon}"), Order::Forget(daemon), now);
+            self.propose_once(format!("forget {daemon}"), Order::RemoveMember(daemon), now);
         }
     }
 }
 
 /// Under which a change of a seat is asked for once.
-pub(super) fn reseat_key(place: &Place, out: &Daemon) -> String {
+pub(super) fn reseat_key(place: &PartitionId, out: &Daemon) -> String {
     format!("reseat {place} {out}")
 }
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -7,19 +7,19 @@
 impl Placement {
     /// The store that runs on a machine.
     fn store_on(&self, machine: &str) -> Option<&Member> {
-        self.hard.of(Kind::Store).find(|m| !machine.is_empty() && m.machine == machine)
+        self.hard.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
     }
 
     /// Takes the order to empty a machine; the same order again is
     /// acknowledged again.
-    pub(super) fn retire_machine(&mut self, id: AskId, machine: &str, now: Time) -> Option<Verdict> {
+    pub(super) fn retire_machine(&mut self, id: RequestId, machine: &str, now: Time) -> Option<ApiResponse> {
         let Some(store) = self.store_on(machine).map(|m| m.id.clone()) else { return Some(unknown_machine()) };
         self.retire(id, store, now)
     }
 
     /// How far a machine's retirement is. `gone` is told only when nothing on
     /// it counts any more: no seat in a write set, and no vote.
-    pub(super) fn retirement(&self, machine: &str) -> Verdict {
+    pub(super) fn retirement(&self, machine: &str) -> ApiResponse {
         let Some(store) = self.store_on(machine) else { return unknown_machine() };
         let Some(state) = self.hard.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
             return wrong(404, "this machine was not asked to retire; ask it to first");
@@ -28,12 +28,12 @@
         let votes = self.votes_on(host_of(&store.addr));
         let gone = *state == Retirement::Done && seats == 0 && !votes;
         let word = if gone { "gone" } else { "leaving" };
-        Verdict::json(200, json!({"machine": machine, "retirement": word, "seats_left": seats, "votes": votes}).to_string())
+        ApiResponse::json(200, json!({"machine": machine, "retirement": word, "seats_left": seats, "votes": votes}).to_string())
     }
 
     /// The hosts of retiring stores; their placement votes have to move too.
     pub fn retiring_hosts(&self) -> BTreeSet<String> {
-        let stores = self.hard.of(Kind::Store).filter(|m| self.retiring(&m.id));
+        let stores = self.hard.of(DaemonKind::Store).filter(|m| self.retiring(&m.id));
         stores.map(|m| host_of(&m.addr).to_string()).collect()
     }
 
@@ -45,6 +45,6 @@
     }
 }
 
-fn unknown_machine() -> Verdict {
+fn unknown_machine() -> ApiResponse {
     wrong(404, "no store runs on a machine of that name; check it with 'dahliawick status'")
 }
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -19,7 +19,7 @@
 }
 
 impl Placement {
-    pub(super) fn revise(&mut self, id: AskId, base: u64, json: &str, part: bool, now: Time) -> Option<Verdict> {
+    pub(super) fn revise(&mut self, id: RequestId, base: u64, json: &str, part: bool, now: Time) -> Option<ApiResponse> {
         let op = OperationId::numbered(kind_of(part), base, json);
         let known = self.hard.operations.known(&op, None);
         if let Known::Done(version) = known {
@@ -42,7 +42,7 @@
             Ok(json) => json,
             Err(Unfit::Later(why)) => return Some(later(why)),
             Err(Unfit::Wrong(e)) => {
-                self.note(Note::CharterRefused, e.to_string());
+                self.note(LogEvent::CharterRefused, e.to_string());
                 return Some(faulty(&e));
             }
         };
@@ -54,7 +54,7 @@
     /// The answer to an order on a base so old that its record may be gone:
     /// a whole configuration that is in force was taken, of any other it can't
     /// be known.
-    fn unrecorded(&self, op: &OperationId, json: &str, part: bool, now: Time) -> Verdict {
+    fn unrecorded(&self, op: &OperationId, json: &str, part: bool, now: Time) -> ApiResponse {
         if !part && self.in_force(json, now) {
             return done(self.hard.charter_version, op);
         }
@@ -71,7 +71,7 @@
     }
 
     /// Those who wait for an order that is under way.
-    fn waiting(&mut self, op: &OperationId) -> Option<&mut Vec<AskId>> {
+    fn waiting(&mut self, op: &OperationId) -> Option<&mut Vec<RequestId>> {
         self.pending.values_mut().find_map(|(_, p)| match p {
             Pending::Revision(all, o) if o == op => Some(all),
             _ => None,
@@ -107,22 +107,22 @@
         if c.spool > 0 || c.routes.is_empty() {
             return Ok(());
         }
-        let live: Vec<&Member> = self.hard.of(Kind::Store).filter(|m| self.live(&m.id, now)).collect();
+        let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.grown) < GROWING {
             return Err(Unfit::Later("the stores are still coming in, three in two zones are needed; send it again"));
         }
-        let stores = self.hard.of(Kind::Store).filter(|m| !self.retiring(&m.id)).count();
+        let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
 
     /// Another revision is in force than the one this was made from.
-    pub(super) fn outrun(&self, v: Version) -> Verdict {
+    pub(super) fn outrun(&self, v: Version) -> ApiResponse {
         let revision = self.rules.revision;
         let text = json!({"error": "the base is no longer the newest; read the charter again and mend your change",
                           "revision": revision, "version": v.to_string()});
-        Verdict::json(409, text.to_string())
+        ApiResponse::json(409, text.to_string())
     }
 }
 
@@ -140,6 +140,6 @@
     Ok(json)
 }
 
-pub(super) fn later(why: &str) -> Verdict {
-    Verdict { after: Some(AGAIN), ..wrong(503, why) }
+pub(super) fn later(why: &str) -> ApiResponse {
+    ApiResponse { after: Some(AGAIN), ..wrong(503, why) }
 }
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -25,9 +25,10 @@
 
     /// Zones of the stores of a write set that are live with the folder that
     /// counts.
-    fn present_zones(&self, set: &[(Daemon, Mark)], now: Time) -> Vec<Zone> {
-        let is_present =
-            |seat: &&(Daemon, Mark)| self.live(&seat.0, now) && self.seen.get(&seat.0).is_some_and(|seen| seen.disk == seat.1);
+    fn present_zones(&self, set: &[(Daemon, IncarnationId)], now: Time) -> Vec<Zone> {
+        let is_present = |seat: &&(Daemon, IncarnationId)| {
+            self.live(&seat.0, now) && self.seen.get(&seat.0).is_some_and(|seen| seen.disk == seat.1)
+        };
         let present = set.iter().filter(is_present);
         present.filter_map(|seat| self.hard.members.get(&seat.0).map(|member| member.zone.clone())).collect()
     }
@@ -43,13 +44,13 @@
         if short.is_empty() {
             self.shortfall.since = None;
             if !std::mem::take(&mut self.shortfall.told).is_empty() {
-                self.note(Note::FullRedundancy, "voters and write sets".to_string());
+                self.note(LogEvent::RedundancyRestored, "voters and write sets".to_string());
             }
             return;
         }
         let since = *self.shortfall.since.get_or_insert(now);
         if now.since(since) >= TOLD_AFTER && short != self.shortfall.told {
-            self.note(Note::LittleRedundancy, short.join("; "));
+            self.note(LogEvent::RedundancyReduced, short.join("; "));
             self.shortfall.told = short;
         }
     }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -3,28 +3,28 @@
 use fleet::*;
 
 /// A daemon's pull that has nothing yet, and what it is told.
-fn told(f: &mut Fleet, name: &str, reads_compressed: bool) -> Vec<Item> {
+fn told(f: &mut Fleet, name: &str, reads_compressed: bool) -> Vec<Update> {
     let primary = f.primary().unwrap();
     let me = member(name, "z1");
-    let need = Msg::Need {
+    let need = PeerMessage::Pull {
         asked: f.now,
         heard: (Term(0), Time(0)),
-        have: Vector::default(),
+        have: VersionVector::default(),
         me: me.clone(),
         report: None,
         reads_compressed,
     };
     let now = f.now;
-    let out = f.cores.get_mut(&primary).unwrap().step(Event::Hear { from: me.id, msg: need }, now);
+    let out = f.cores.get_mut(&primary).unwrap().step(Event::MessageReceived { from: me.id, msg: need }, now);
     let items = |effect| match effect {
-        Effect::Say(_, Msg::News { items, .. }) => items,
+        Effect::Send(_, PeerMessage::PullResponse { items, .. }) => items,
         _ => Vec::new(),
     };
     out.into_iter().flat_map(items).map(|(_, item)| item).collect()
 }
 
-fn charter_of(items: &[Item]) -> &Item {
-    items.iter().find(|item| item.source() == Source::Charter).expect("a configuration")
+fn charter_of(items: &[Update]) -> &Update {
+    items.iter().find(|item| item.source() == Topic::Charter).expect("a configuration")
 }
 
 /// One with so many services.
@@ -43,12 +43,12 @@
     f.run(2_000);
     let committed = hard(&f).charter.clone();
     let items = told(&mut f, "agent-1", true);
-    let Item::CompressedCharter(text) = charter_of(&items) else { panic!("{items:?}") };
+    let Update::CompressedCharter(text) = charter_of(&items) else { panic!("{items:?}") };
     assert_eq!(text.read(CHARTER_MAX).as_deref(), Some(committed.as_str()));
     assert!(text.size() * 5 < committed.len(), "{} of {} bytes", text.size(), committed.len());
     assert_eq!(text.read(committed.len() - 1), None, "longer than its receiver takes");
     let items = told(&mut f, "agent-2", false);
-    assert_eq!(*charter_of(&items), Item::Charter(committed));
+    assert_eq!(*charter_of(&items), Update::Charter(committed));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(f.put(0, &first()).code, 200);
     f.run(2_000);
     let items = told(&mut f, "agent-1", true);
-    assert!(matches!(charter_of(&items), Item::Charter(_)), "{items:?}");
+    assert!(matches!(charter_of(&items), Update::Charter(_)), "{items:?}");
 }
 
 #[test]
@@ -69,15 +69,15 @@
     let version = hard(&f).members_version;
     f.add("agent-2", "z2");
     f.run(2_000);
-    let agents = hard(&f).members.keys().filter(|d| d.kind() == Kind::Agent).count();
+    let agents = hard(&f).members.keys().filter(|d| d.kind() == DaemonKind::Agent).count();
     assert_eq!(agents, 2, "a new primary tells them that it is there");
     assert_eq!(hard(&f).members_version, version, "an agent's coming is news to nobody");
-    let sources = |items: &[Item]| items.iter().map(Item::source).collect::<BTreeSet<_>>();
+    let sources = |items: &[Update]| items.iter().map(Update::source).collect::<BTreeSet<_>>();
     for name in ["agent-1", "store-1"] {
         let items = told(&mut f, name, true);
-        assert!(!sources(&items).contains(&Source::Workers), "{name}: {items:?}");
-        let Some(Item::Members(members)) = items.iter().find(|item| item.source() == Source::Members) else { panic!() };
-        assert!(members.iter().all(|m| matches!(m.id.kind(), Kind::Store | Kind::Delivery)), "{members:?}");
+        assert!(!sources(&items).contains(&Topic::Workers), "{name}: {items:?}");
+        let Some(Update::Members(members)) = items.iter().find(|item| item.source() == Topic::Members) else { panic!() };
+        assert!(members.iter().all(|m| matches!(m.id.kind(), DaemonKind::Store | DaemonKind::Delivery)), "{members:?}");
     }
 }
 
@@ -87,7 +87,7 @@
     f.add("agent-1", "z1");
     f.run(2_000);
     let before = f.cores[&f.primary().unwrap()].election.commit();
-    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.life = Mark(99);
+    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.life = IncarnationId(99);
     f.run(2_000);
     assert_eq!(f.cores[&f.primary().unwrap()].election.commit(), before, "nothing is decided by its life");
 }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
 pub use dw_placement::prelude::*;
 pub use serde_json::{json, Value};
 pub use stores::*;
-pub const REACHES: usize = dw_types::id::REACHES as usize;
+pub const TARGET_SHARDS_PER_ZONE: usize = dw_types::id::TARGET_SHARDS_PER_ZONE as usize;
 use std::collections::VecDeque as Queue;
 
 /// Between two steps of time.
@@ -27,7 +27,7 @@
     pub unheard: Vec<Duty>,
     /// Replacements it was told of as keeper: who leaves, who joins, and the
     /// number that its report names.
-    pub swaps: BTreeMap<Place, (Daemon, Daemon, Version)>,
+    pub swaps: BTreeMap<PartitionId, (Daemon, Daemon, Version)>,
     /// It was told to stop and gives up what it holds.
     pub stopping: bool,
     /// What placement last said of waiting for its seats.
@@ -35,9 +35,9 @@
     /// Joiners are whole as soon as they are named.
     pub copies: bool,
     heard: (Term, Time),
-    have: Vector,
+    have: VersionVector,
     due: Time,
-    pub news: Vec<Item>,
+    pub news: Vec<Update>,
 }
 
 pub struct Fleet {
@@ -52,7 +52,7 @@
     queue: Queue<(Daemon, Event)>,
     /// A core whose frames are counted, and the bytes of those sent to it.
     pub metered: Option<(Daemon, usize)>,
-    pub told: BTreeMap<u64, Verdict>,
+    pub told: BTreeMap<u64, ApiResponse>,
     pub calls: Vec<(Time, Daemon, CallId, Call)>,
     pub platform: String,
     pub rate: f64,
@@ -65,8 +65,8 @@
 }
 
 /// The mark of a daemon's data folder.
-pub fn disk_of(name: &str) -> Mark {
-    Mark(hash_of(name.as_bytes()))
+pub fn disk_of(name: &str) -> IncarnationId {
+    IncarnationId(hash_of(name.as_bytes()))
 }
 
 pub fn member(name: &str, zone: &str) -> Member {
@@ -75,7 +75,7 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: format!("{name}:80"),
-        life: Mark(1),
+        life: IncarnationId(1),
         disk: disk_of(name),
         machine: format!("machine-of-{name}"),
     }
@@ -146,7 +146,7 @@
             seed: hash_of(id.as_str().as_bytes()),
         };
         let files = self.disks.entry(id.clone()).or_default().iter().map(|(n, b)| (n.clone(), b.clone())).collect();
-        let mark = Mark(hash_of(format!("disk {id}").as_bytes()));
+        let mark = IncarnationId(hash_of(format!("disk {id}").as_bytes()));
         let (core, out) = Placement::new(startup, files, mark, found, self.now);
         self.cores.insert(id.clone(), core);
         self.obey(id, out);
@@ -190,7 +190,7 @@
             told_to_wait: None,
             copies: true,
             heard: (Term(0), Time(0)),
-            have: Vector::default(),
+            have: VersionVector::default(),
             due,
             news: Vec::new(),
         };
@@ -207,15 +207,17 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for e in out {
             match e {
-                Effect::Say(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => {
+                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
                     if let Some((_, bytes)) = self.metered.as_mut().filter(|metered| metered.0 == to) {
                         *bytes += encode(&msg).len();
                     }
-                    self.queue.push_back((to, Event::Hear { from: id.clone(), msg }));
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), msg }));
                 }
-                Effect::Say(to, Msg::News { asked, term, items, grants, .. }) => self.news(&to, asked, term, items, grants),
-                Effect::Say(to, Msg::Departure { wait, .. }) => {
+                Effect::Send(to, PeerMessage::PullResponse { asked, term, items, grants, .. }) => {
+                    self.news(&to, asked, term, items, grants)
+                }
+                Effect::Send(to, PeerMessage::Departure { wait, .. }) => {
                     if let Some(fake) = self.fakes.get_mut(&to) {
                         fake.told_to_wait = Some(wait);
                     }
@@ -230,7 +232,7 @@
                 Effect::Remove(name) => {
                     self.disks.entry(id.clone()).or_default().remove(&name);
                 }
-                Effect::Tell(ask, v) => {
+                Effect::Respond(ask, v) => {
                     assert!(self.told.insert(ask.0, v).is_none(), "ask {} was answered twice", ask.0);
                 }
                 Effect::Call(call, what) => self.calls.push((self.now, id.clone(), call, what)),
@@ -238,7 +240,7 @@
             }
         }
     }
-    fn news(&mut self, to: &Daemon, asked: Time, term: Term, items: Vec<(Version, Item)>, grants: Vec<Grant>) {
+    fn news(&mut self, to: &Daemon, asked: Time, term: Term, items: Vec<(Version, Update)>, grants: Vec<Grant>) {
         let Some(f) = self.fakes.get_mut(to) else { return };
         f.heard = (term, asked);
         for (v, item) in items {
@@ -282,7 +284,8 @@
         let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, checkpoint: false });
         let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, checkpoint: true });
         let claims = memory.chain(folder).collect();
-        let kept: BTreeSet<&Place> = f.held.keys().filter_map(|d| if let Duty::Keep(p) = d { Some(p) } else { None }).collect();
+        let kept: BTreeSet<&PartitionId> =
+            f.held.keys().filter_map(|d| if let Duty::Keep(p) = d { Some(p) } else { None }).collect();
         f.swaps.retain(|place, _| kept.contains(place));
         let swaps = f.swaps.iter().map(|(place, s)| (place.clone(), s.2)).collect();
         let copied = f.swaps.iter().filter(|_| f.copies);
@@ -297,7 +300,7 @@
             stopping: f.stopping,
             ..Report::default()
         };
-        let need = |f: &Fake| Msg::Need {
+        let need = |f: &Fake| PeerMessage::Pull {
             asked: now,
             heard: f.heard,
             have: f.have.clone(),
@@ -307,7 +310,7 @@
         };
         let msg = need(f);
         for core in self.cores.keys().filter(|d| !self.cut.contains(*d)) {
-            self.queue.push_back((core.clone(), Event::Hear { from: id.clone(), msg: msg.clone() }));
+            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), msg: msg.clone() }));
         }
     }
     pub fn step(&mut self, id: &Daemon, event: Event) {
@@ -331,7 +334,7 @@
         while self.now < end {
             self.now += STEP;
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
-                self.step(&id, Event::Clock);
+                self.step(&id, Event::Tick);
             }
             for id in self.fakes.keys().cloned().collect::<Vec<_>>() {
                 self.pull(&id);
@@ -350,30 +353,30 @@
         self.now.since(begun).as_millis()
     }
     /// Hands an order to a daemon; its number, under which it is answered.
-    pub fn send(&mut self, to: &Daemon, ask: Ask) -> u64 {
+    pub fn send(&mut self, to: &Daemon, ask: ApiRequest) -> u64 {
         let n = self.next;
         self.next += 1;
-        self.step(to, Event::Ask(AskId(n), ask));
+        self.step(to, Event::Request(RequestId(n), ask));
         n
     }
     /// Asks the primary and waits for its verdict.
-    pub fn ask(&mut self, ask: Ask) -> Verdict {
+    pub fn ask(&mut self, ask: ApiRequest) -> ApiResponse {
         let to = self.primary().expect("a primary");
         let n = self.send(&to, ask);
         self.run(300);
         self.told.get(&n).cloned().expect("a verdict")
     }
-    pub fn put(&mut self, base: u64, json: &Value) -> Verdict {
-        self.ask(Ask::Revise { base, json: json.to_string(), patch: false })
+    pub fn put(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), patch: false })
     }
-    pub fn patch(&mut self, base: u64, json: &Value) -> Verdict {
-        self.ask(Ask::Revise { base, json: json.to_string(), patch: true })
+    pub fn patch(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), patch: true })
     }
     /// Who holds each duty of reach, by their own word.
     pub fn reaches(&self) -> BTreeMap<Duty, Daemon> {
         let mut out = BTreeMap::new();
         for (id, f) in &self.fakes {
-            for (duty, x) in f.held.iter().filter(|(d, _)| matches!(d, Duty::Reach(_))) {
+            for (duty, x) in f.held.iter().filter(|(d, _)| matches!(d, Duty::TargetShard(_))) {
                 if self.now < x.1 {
                     let before = out.insert(duty.clone(), id.clone());
                     assert!(before.is_none(), "{duty} is held by {id} and {before:?}");
@@ -418,6 +421,6 @@
     charter(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
 }
 
-pub fn said(v: &Verdict) -> Value {
+pub fn said(v: &ApiResponse) -> Value {
     serde_json::from_str(&v.json).unwrap()
 }
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -5,16 +5,16 @@
 /// More changes than the earlier form remembered.
 const MANY: u64 = 300;
 
-fn revise(base: u64, words: &str) -> Ask {
-    Ask::Revise { base, json: words.to_string(), patch: false }
+fn revise(base: u64, words: &str) -> ApiRequest {
+    ApiRequest::Revise { base, json: words.to_string(), patch: false }
 }
 
 fn routed(revision: u64, prefix: &str) -> Value {
     charter(revision, &[route("r-a", prefix)])
 }
 
-fn zone(empty: bool) -> Ask {
-    Ask::Zone { zone: "z1".into(), empty, sure: true }
+fn zone(empty: bool) -> ApiRequest {
+    ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, sure: true }
 }
 
 /// A configuration that starts with `token`, so that its hash may be chosen.
@@ -53,8 +53,8 @@
 fn a_repeated_emptying_of_a_zone_joins_the_one_under_way() {
     let mut f = Fleet::whole();
     let (at, before) = (f.primary().unwrap(), f.committed());
-    f.step_alone(&at, Event::Ask(AskId(901), zone(true)));
-    f.step_alone(&at, Event::Ask(AskId(902), zone(true)));
+    f.step_alone(&at, Event::Request(RequestId(901), zone(true)));
+    f.step_alone(&at, Event::Request(RequestId(902), zone(true)));
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 200));
@@ -67,7 +67,7 @@
         let mut f = Fleet::whole();
         let at = f.primary().unwrap();
         for (n, empty) in orders.iter().enumerate() {
-            f.step_alone(&at, Event::Ask(AskId(901 + n as u64), zone(*empty)));
+            f.step_alone(&at, Event::Request(RequestId(901 + n as u64), zone(*empty)));
         }
         f.drain();
         f.run(1_000);
@@ -88,7 +88,7 @@
     let words: Vec<String> = (0..8).map(|n| routed(9, &format!("/x{}/", n % 4)).to_string()).collect();
     for (n, text) in words.iter().enumerate() {
         for (k, daemon) in all.iter().enumerate() {
-            f.step_alone(daemon, Event::Ask(AskId(900 + 10 * n as u64 + k as u64), revise(7, text)));
+            f.step_alone(daemon, Event::Request(RequestId(900 + 10 * n as u64 + k as u64), revise(7, text)));
         }
     }
     f.drain();
@@ -115,7 +115,7 @@
     let at = f.primary().unwrap();
     let words = json!({"revision": 9, "routes": [route("r-b", "/b/")]}).to_string();
     for n in [901, 902] {
-        f.step_alone(&at, Event::Ask(AskId(n), Ask::Revise { base: 7, json: words.clone(), patch: true }));
+        f.step_alone(&at, Event::Request(RequestId(n), ApiRequest::Revise { base: 7, json: words.clone(), patch: true }));
     }
     f.drain();
     f.run(300);
@@ -132,7 +132,7 @@
     let apply = |f: &Fleet, doc: &str| {
         let base = f.cores[&f.primary().unwrap()].hard.charter_version.to_string();
         let json = json!({"revision": 9, "doc": doc}).to_string();
-        Ask::Apply(Charge { op: "op-1".into(), base, json, patch: true })
+        ApiRequest::Apply(ApplyRequest { op: "op-1".into(), base, json, patch: true })
     };
     let one = apply(&f, "one");
     assert_eq!(f.ask(one.clone()).code, 200);
@@ -161,8 +161,8 @@
 }
 
 /// Every verdict among effects.
-fn verdicts(effects: Vec<Effect>) -> Vec<Verdict> {
-    effects.into_iter().filter_map(|e| if let Effect::Tell(_, v) = e { Some(v) } else { None }).collect()
+fn verdicts(effects: Vec<Effect>) -> Vec<ApiResponse> {
+    effects.into_iter().filter_map(|e| if let Effect::Respond(_, v) = e { Some(v) } else { None }).collect()
 }
 
 #[test]
@@ -176,22 +176,22 @@
     assert_eq!(f.put(7, &routed(9, "/a/")).code, 200);
     // What waited at its sockets comes before its own clock event.
     let store = f.fakes.values().next().unwrap().me.clone();
-    let need = Msg::Need {
+    let need = PeerMessage::Pull {
         asked: f.now,
         heard: (Term(1), f.now),
-        have: Vector::default(),
+        have: VersionVector::default(),
         me: store.clone(),
         report: Some(Report::default()),
         reads_compressed: false,
     };
-    let out = frozen.step(Event::Hear { from: store.id.clone(), msg: need }, f.now);
-    assert!(!out.iter().any(|e| matches!(e, Effect::Say(_, Msg::News { .. }))), "{out:?}");
-    let asks = [Ask::CharterShow, revise(0, &first().to_string()), revise(7, &routed(12, "/b/").to_string()), zone(false)];
+    let out = frozen.step(Event::MessageReceived { from: store.id.clone(), msg: need }, f.now);
+    assert!(!out.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::PullResponse { .. }))), "{out:?}");
+    let asks = [ApiRequest::CharterShow, revise(0, &first().to_string()), revise(7, &routed(12, "/b/").to_string()), zone(false)];
     for ask in asks {
-        let told = verdicts(frozen.step(Event::Ask(AskId(1), ask.clone()), f.now));
+        let told = verdicts(frozen.step(Event::Request(RequestId(1), ask.clone()), f.now));
         assert_eq!(told.iter().map(|v| v.code).collect::<Vec<_>>(), [503], "{ask:?}");
     }
-    let told = verdicts(frozen.step(Event::Ask(AskId(2), Ask::Status), f.now));
+    let told = verdicts(frozen.step(Event::Request(RequestId(2), ApiRequest::Status), f.now));
     assert_eq!(said(&told[0])["may_act"], false);
 }
 
--- a/crates/placement/tests/pages.rs
+++ b/crates/placement/tests/pages.rs
@@ -15,8 +15,8 @@
     }
 }
 
-fn page(workers: &[Worker], next: Option<&str>) -> Reply {
-    Reply::Listed(ListPage { workers: workers.to_vec(), next: next.map(str::to_string) })
+fn page(workers: &[Worker], next: Option<&str>) -> CallResult {
+    CallResult::WorkerList(ListPage { workers: workers.to_vec(), next: next.map(str::to_string) })
 }
 
 fn listing(rate: f64) -> Fleet {
@@ -26,12 +26,12 @@
 }
 
 /// Waits for the next call and answers it; says when it came and for which page.
-fn turn(f: &mut Fleet, reply: Reply) -> (Time, Option<String>) {
+fn turn(f: &mut Fleet, reply: CallResult) -> (Time, Option<String>) {
     let before = f.calls.len();
     f.until(20_000, |f| f.calls.len() > before);
     let (at, who, id, call) = f.calls[before].clone();
-    let Errand::List { page } = call.errand else { panic!("{:?}", call.errand) };
-    f.step_alone(&who, Event::Back(id, reply));
+    let CallKind::WorkerList { page } = call.errand else { panic!("{:?}", call.errand) };
+    f.step_alone(&who, Event::CallFinished(id, reply));
     (at, page)
 }
 
@@ -39,7 +39,7 @@
 fn lists(f: &mut Fleet) -> Vec<Vec<Worker>> {
     f.run(450);
     let news = &f.fakes[&daemon("delivery-1")].news;
-    news.iter().filter_map(|i| if let Item::Workers(w) = i { Some(w.clone()) } else { None }).collect()
+    news.iter().filter_map(|i| if let Update::Workers(w) = i { Some(w.clone()) } else { None }).collect()
 }
 
 fn ids(w: &[Worker]) -> Vec<&str> {
@@ -54,8 +54,8 @@
     let asked = f.calls.last().unwrap().3.clone();
     assert_eq!((asked.addr.as_str(), asked.path.as_str()), ("platform:80", "/instances"));
     let (_, who, id, call) = f.calls.last().unwrap().clone();
-    assert_eq!(call.errand, Errand::List { page: Some("p-2".into()) });
-    f.step_alone(&who, Event::Back(id, page(&[worker("i-2", 0)], None)));
+    assert_eq!(call.errand, CallKind::WorkerList { page: Some("p-2".into()) });
+    f.step_alone(&who, Event::CallFinished(id, page(&[worker("i-2", 0)], None)));
     let all = lists(&mut f);
     assert_eq!(ids(&all[0]), ["i-1", "i-2", "i-3"]);
     assert_eq!(all[0][0].slots, 6);
@@ -64,7 +64,7 @@
     f.add("delivery-2", "z1");
     f.run(450);
     let late =
-        f.fakes[&daemon("delivery-2")].news.iter().find_map(|i| if let Item::Workers(w) = i { Some(w[0].cold) } else { None });
+        f.fakes[&daemon("delivery-2")].news.iter().find_map(|i| if let Update::Workers(w) = i { Some(w[0].cold) } else { None });
     assert!(late.unwrap() <= Span::millis(1_000), "{late:?}");
 }
 
@@ -73,12 +73,15 @@
     let mut f = listing(0.0);
     turn(&mut f, page(&[worker("i-1", 0)], None));
     assert_eq!(lists(&mut f).len(), 1);
-    let failures = [Reply::Lost(Sent::No), Reply::Got { code: 429, load: None, draining: false, body: Bytes::new() }];
+    let failures = [
+        CallResult::Failed(SendState::NotSent),
+        CallResult::Answered { code: 429, load: None, draining: false, body: Bytes::new() },
+    ];
     for bad in failures {
         assert_eq!(turn(&mut f, page(&[worker("i-2", 0)], Some("p-2"))).1, None);
         let (_, who, id, call) = f.calls.last().unwrap().clone();
-        assert_eq!(call.errand, Errand::List { page: Some("p-2".into()) });
-        f.step_alone(&who, Event::Back(id, bad));
+        assert_eq!(call.errand, CallKind::WorkerList { page: Some("p-2".into()) });
+        f.step_alone(&who, Event::CallFinished(id, bad));
         assert_eq!(lists(&mut f).len(), 1);
     }
     // An empty list, a page that names itself.
@@ -86,7 +89,7 @@
     assert_eq!(lists(&mut f).len(), 1);
     turn(&mut f, page(&[worker("i-2", 0)], Some("p")));
     let (_, who, id, _) = f.calls.last().unwrap().clone();
-    f.step_alone(&who, Event::Back(id, page(&[worker("i-3", 0)], Some("p"))));
+    f.step_alone(&who, Event::CallFinished(id, page(&[worker("i-3", 0)], Some("p"))));
     assert_eq!(lists(&mut f).len(), 1);
     // And a good one after them begins at the first page.
     assert_eq!(turn(&mut f, page(&[worker("i-9", 0)], None)).1, None);
@@ -98,7 +101,7 @@
     let mut f = listing(0.0);
     turn(&mut f, page(&[worker("i-1", 0)], None));
     let (_, who, id, _) = f.calls.last().unwrap().clone();
-    f.step_alone(&who, Event::Back(id, page(&[worker("i-7", 0)], None)));
+    f.step_alone(&who, Event::CallFinished(id, page(&[worker("i-7", 0)], None)));
     assert_eq!(ids(lists(&mut f).last().unwrap()), ["i-1"]);
 }
 
@@ -124,7 +127,7 @@
         f.until(5_000, |f| f.calls.len() > before);
         let (_, who, id, _) = f.calls[before].clone();
         let reply = page(&[worker("i-1", left(&f))], None);
-        f.step_alone(&who, Event::Back(id, reply));
+        f.step_alone(&who, Event::CallFinished(id, reply));
     }
     assert_eq!(lists(&mut f).len(), 1);
     turn(&mut f, page(&[worker("i-1", 3_000)], None));
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -5,12 +5,12 @@
 fn routed() -> Fleet {
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
-    f.until(6_000, |f| f.reaches().len() == 3 * REACHES + 2 * REACHES);
+    f.until(6_000, |f| f.reaches().len() == 3 * TARGET_SHARDS_PER_ZONE + 2 * TARGET_SHARDS_PER_ZONE);
     f
 }
 
 fn at_home(f: &Fleet) -> bool {
-    (1..=3).all(|n| f.holders(&format!("z{n}")) == vec![daemon(&format!("delivery-{n}")); REACHES])
+    (1..=3).all(|n| f.holders(&format!("z{n}")) == vec![daemon(&format!("delivery-{n}")); TARGET_SHARDS_PER_ZONE])
 }
 
 #[test]
@@ -19,7 +19,7 @@
     f.run(5_000);
     assert!(f.reaches().is_empty());
     let primary = f.primary().unwrap();
-    assert!(!f.cores[&primary].duties().iter().any(|d| matches!(d, Duty::Reach(_))));
+    assert!(!f.cores[&primary].duties().iter().any(|d| matches!(d, Duty::TargetShard(_))));
 }
 
 #[test]
@@ -44,7 +44,7 @@
     f.put(0, &first());
     f.run(8_000);
     let held = f.holders("z1");
-    assert_eq!(held.len(), REACHES);
+    assert_eq!(held.len(), TARGET_SHARDS_PER_ZONE);
     assert!(held.contains(&daemon("delivery-1")) && held.contains(&daemon("delivery-4")), "{held:?}");
 }
 
@@ -52,7 +52,7 @@
 fn a_zone_without_a_delivery_is_served_from_others_and_goes_home_when_one_settles() {
     let mut f = routed();
     f.fakes.remove(&daemon("delivery-2"));
-    f.until(6_000, |f| f.holders("z2").len() == REACHES);
+    f.until(6_000, |f| f.holders("z2").len() == TARGET_SHARDS_PER_ZONE);
     assert!(f.reaches().values().all(|d| *d != daemon("delivery-2")));
     f.add("delivery-2", "z2");
     // Not before it has been live for a while. Addresses are at home nowhere:
@@ -90,7 +90,7 @@
 fn a_busy_holder_abroad_is_asked_and_never_forced() {
     let mut f = routed();
     f.fakes.remove(&daemon("delivery-2"));
-    f.until(6_000, |f| f.holders("z2").len() == REACHES);
+    f.until(6_000, |f| f.holders("z2").len() == TARGET_SHARDS_PER_ZONE);
     let abroad = f.holders("z2");
     for d in ["delivery-1", "delivery-3"] {
         f.fakes.get_mut(&daemon(d)).unwrap().busy = true;
@@ -140,10 +140,10 @@
         cold: Span::ZERO,
     };
     let (_, at, call, _) = f.calls.pop().unwrap();
-    f.step(&at, Event::Back(call, Reply::Listed(ListPage { workers: vec![far], next: None })));
+    f.step(&at, Event::CallFinished(call, CallResult::WorkerList(ListPage { workers: vec![far], next: None })));
     f.run(4_000);
     assert_eq!(f.put(0, &first()).code, 200);
-    f.until(6_000, |f| f.holders("z9").len() == REACHES);
+    f.until(6_000, |f| f.holders("z9").len() == TARGET_SHARDS_PER_ZONE);
     let before = f.holders("z9");
     let old = f.primary().unwrap();
     f.kill(&old);
--- a/crates/placement/tests/redundancy.rs
+++ b/crates/placement/tests/redundancy.rs
@@ -30,7 +30,7 @@
 
 fn status(f: &mut Fleet) -> Value {
     let primary = f.primary().unwrap();
-    f.step(&primary, Event::Ask(AskId(9_000), Ask::Status));
+    f.step(&primary, Event::Request(RequestId(9_000), ApiRequest::Status));
     let told = f.told.remove(&9_000).unwrap();
     serde_json::from_str::<Value>(&told.json).unwrap()["redundancy"].clone()
 }
--- a/crates/placement/tests/replacement.rs
+++ b/crates/placement/tests/replacement.rs
@@ -12,7 +12,7 @@
 
 /// The daemon comes back with its disk, in a new life.
 fn return_with_disk(f: &mut Fleet, mut fake: Fake) {
-    fake.me.life = Mark(fake.me.life.0 + 1);
+    fake.me.life = IncarnationId(fake.me.life.0 + 1);
     fake.held.clear();
     fake.swaps.clear();
     f.fakes.insert(fake.me.id.clone(), fake);
@@ -101,7 +101,8 @@
 #[test]
 fn a_copy_made_under_an_earlier_replacement_is_not_counted() {
     let (mut f, fake) = replacement_under_way();
-    let old: BTreeMap<Place, Version> = f.fakes.values().flat_map(|x| x.swaps.iter().map(|(p, s)| (p.clone(), s.2))).collect();
+    let old: BTreeMap<PartitionId, Version> =
+        f.fakes.values().flat_map(|x| x.swaps.iter().map(|(p, s)| (p.clone(), s.2))).collect();
     return_with_disk(&mut f, fake);
     f.until(1_500, |f| swaps(f) == 0);
     lose(&mut f, "store-1");
@@ -110,20 +111,20 @@
     let keepers: Vec<Daemon> = f.fakes.values().filter(|x| !x.swaps.is_empty()).map(|x| x.me.id.clone()).collect();
     for keeper in keepers {
         let fake = &f.fakes[&keeper];
-        let places: Vec<Place> = fake.swaps.keys().cloned().collect();
+        let places: Vec<PartitionId> = fake.swaps.keys().cloned().collect();
         let whole = places.iter().map(|p| (p.clone(), daemon("store-4"), disk_of("store-4"))).collect();
         let swaps = places.iter().map(|p| (p.clone(), old[p])).collect();
         let report = Report { whole, swaps, ..Report::default() };
         let heard = (f.cores[&primary].election.term(), f.now);
-        let msg = Msg::Need {
+        let msg = PeerMessage::Pull {
             asked: f.now,
             heard,
-            have: Vector::default(),
+            have: VersionVector::default(),
             me: fake.me.clone(),
             report: Some(report),
             reads_compressed: false,
         };
-        f.step(&primary, Event::Hear { from: keeper, msg });
+        f.step(&primary, Event::MessageReceived { from: keeper, msg });
     }
     assert_eq!((seats(&f, "store-1"), seats(&f, "store-4")), (6, 0));
     copying(&mut f, true);
@@ -249,10 +250,10 @@
 fn a_machine_that_the_widest_set_needs_is_not_retired() {
     let mut f = bearing_two(5);
     let machine = "machine-of-store-1".to_string();
-    assert_eq!(f.ask(Ask::RetireMachine { machine: machine.clone() }).code, 409);
+    assert_eq!(f.ask(ApiRequest::RetireMachine { machine: machine.clone() }).code, 409);
     f.add("store-6", "z3");
     f.run(2_000);
-    assert_eq!(f.ask(Ask::RetireMachine { machine }).code, 200);
+    assert_eq!(f.ask(ApiRequest::RetireMachine { machine }).code, 200);
     f.until(6_000, |f| seats(f, "store-1") == 0);
 }
 
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -3,11 +3,11 @@
 use fleet::*;
 
 fn retire(f: &mut Fleet, machine: &str) -> u16 {
-    f.ask(Ask::RetireMachine { machine: machine.to_string() }).code
+    f.ask(ApiRequest::RetireMachine { machine: machine.to_string() }).code
 }
 
 fn told(f: &mut Fleet, machine: &str) -> (u16, String) {
-    let v = f.ask(Ask::Retirement { machine: machine.to_string() });
+    let v = f.ask(ApiRequest::RetirementStatus { machine: machine.to_string() });
     (v.code, said(&v)["retirement"].as_str().unwrap_or("").to_string())
 }
 
@@ -111,7 +111,7 @@
     f.run(2_000);
     f.add("store-1", "z1");
     let fresh = &mut f.fakes.get_mut(&daemon("store-1")).unwrap().me;
-    (fresh.machine, fresh.disk, fresh.life) = ("another".to_string(), Mark(77), Mark(9));
+    (fresh.machine, fresh.disk, fresh.life) = ("another".to_string(), IncarnationId(77), IncarnationId(9));
     f.run(2_000);
     assert_eq!(told(&mut f, "another").0, 404);
     assert!(!f.cores[&f.primary().unwrap()].hard.retiring.contains_key(&daemon("store-1")));
--- a/crates/placement/tests/revision.rs
+++ b/crates/placement/tests/revision.rs
@@ -3,7 +3,7 @@
 use fleet::*;
 
 fn shown(f: &mut Fleet) -> Value {
-    let v = f.ask(Ask::CharterShow);
+    let v = f.ask(ApiRequest::CharterShow);
     assert_eq!(v.code, 200, "{}", v.json);
     serde_json::from_slice(&v.body.expect("the text itself")).unwrap()
 }
@@ -12,7 +12,7 @@
     c["routes"].as_array().into_iter().flatten().map(|r| r["name"].as_str().unwrap().to_string()).collect()
 }
 
-fn paths(v: &Verdict) -> Vec<String> {
+fn paths(v: &ApiResponse) -> Vec<String> {
     let faults = said(v)["faults"].as_array().unwrap_or(&Vec::new()).clone();
     assert!(faults.iter().all(|x| !x["remedy"].as_str().unwrap_or("").is_empty()), "{faults:?}");
     faults.iter().map(|x| x["path"].as_str().unwrap().to_string()).collect()
@@ -99,10 +99,10 @@
 fn a_repeat_while_the_first_is_under_way_shares_its_end() {
     let mut f = Fleet::whole();
     let at = f.primary().unwrap();
-    let order = || Ask::Revise { base: 0, json: first().to_string(), patch: false };
+    let order = || ApiRequest::Revise { base: 0, json: first().to_string(), patch: false };
     // No word of the group travels between the two.
-    f.step_alone(&at, Event::Ask(AskId(901), order()));
-    f.step_alone(&at, Event::Ask(AskId(902), order()));
+    f.step_alone(&at, Event::Request(RequestId(901), order()));
+    f.step_alone(&at, Event::Request(RequestId(902), order()));
     assert!(f.told.is_empty());
     f.drain();
     f.run(300);
@@ -119,8 +119,8 @@
     let at = f.primary().unwrap();
     let one = charter(9, &[route("r-a", "/a/")]).to_string();
     let two = json!({"revision": 8, "routes": [route("r-b", "/b/")]}).to_string();
-    f.step_alone(&at, Event::Ask(AskId(901), Ask::Revise { base: 7, json: one, patch: false }));
-    f.step_alone(&at, Event::Ask(AskId(902), Ask::Revise { base: 7, json: two, patch: true }));
+    f.step_alone(&at, Event::Request(RequestId(901), ApiRequest::Revise { base: 7, json: one, patch: false }));
+    f.step_alone(&at, Event::Request(RequestId(902), ApiRequest::Revise { base: 7, json: two, patch: true }));
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 409));
@@ -138,7 +138,7 @@
             f.cut.insert(d);
         }
     }
-    let n = f.send(&at, Ask::Revise { base: 7, json: charter(9, &[route("r-a", "/a/")]).to_string(), patch: false });
+    let n = f.send(&at, ApiRequest::Revise { base: 7, json: charter(9, &[route("r-a", "/a/")]).to_string(), patch: false });
     f.run(300);
     assert!(!f.told.contains_key(&n));
     f.run(5_000);
@@ -192,12 +192,12 @@
     );
     assert_eq!(paths(&v), ["routes[0].service", "routes[1].attempt_ms", "routes[1].prefix", "revision"]);
     for text in ["", "{", "[]", "null", "7", "{\"revision\": 9, \"routes\": [{\"name\": \"x\"}"] {
-        let v = f.ask(Ask::Revise { base: 7, json: text.into(), patch: false });
+        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), patch: false });
         assert_eq!(v.code, 400, "{text}: {}", v.json);
-        let v = f.ask(Ask::Revise { base: 7, json: text.into(), patch: true });
+        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), patch: true });
         assert_eq!(v.code, 400, "{text}: {}", v.json);
     }
-    let v = f.ask(Ask::Revise { base: 7, json: format!("{{\"doc\": \"{}\"}}", "x".repeat(9 << 20)), patch: false });
+    let v = f.ask(ApiRequest::Revise { base: 7, json: format!("{{\"doc\": \"{}\"}}", "x".repeat(9 << 20)), patch: false });
     assert_eq!(v.code, 413);
     assert_eq!(f.committed(), at);
     assert_eq!(shown(&mut f), before);
@@ -249,9 +249,9 @@
     let back = shown(&mut f);
     assert_eq!((&back["doc"], &back["routes"][1]["doc"], &back["services"][0]["doc"]), (&json!(doc), &json!(doc), &json!(doc)));
     // Deliveries and stores are told the very text that is shown.
-    let text = f.ask(Ask::CharterShow).body.unwrap();
+    let text = f.ask(ApiRequest::CharterShow).body.unwrap();
     for x in f.fakes.values() {
-        let told = x.news.iter().rev().find_map(|i| if let Item::Charter(j) = i { Some(j.clone()) } else { None });
+        let told = x.news.iter().rev().find_map(|i| if let Update::Charter(j) = i { Some(j.clone()) } else { None });
         assert_eq!(told.unwrap().as_bytes(), &text[..]);
     }
 }
@@ -259,7 +259,7 @@
 #[test]
 fn without_a_charter_there_is_none_to_show() {
     let mut f = Fleet::whole();
-    assert_eq!(f.ask(Ask::CharterShow).code, 404);
+    assert_eq!(f.ask(ApiRequest::CharterShow).code, 404);
 }
 
 #[test]
@@ -267,10 +267,10 @@
     let mut f = Fleet::whole();
     let (at, other) = (f.primary().unwrap(), f.standby());
     let asks = [
-        Ask::CharterShow,
-        Ask::Revise { base: 0, json: first().to_string(), patch: false },
-        Ask::Zone { zone: "z1".into(), empty: true, sure: true },
-        Ask::Retire { store: daemon("store-1") },
+        ApiRequest::CharterShow,
+        ApiRequest::Revise { base: 0, json: first().to_string(), patch: false },
+        ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, sure: true },
+        ApiRequest::RetireStore { store: daemon("store-1") },
     ];
     for ask in asks {
         let n = f.send(&other, ask);
@@ -280,14 +280,15 @@
     // Cut off, the old primary does not send callers to itself.
     f.cut.insert(at.clone());
     f.run(2_500);
-    let n = f.send(&at, Ask::CharterShow);
+    let n = f.send(&at, ApiRequest::CharterShow);
     assert_eq!((f.told[&n].code, f.told[&n].elsewhere.clone()), (503, None));
 }
 
 #[test]
 fn the_others_are_told_of_no_placement_daemon() {
     let f = Fleet::whole();
-    let told = |i: &Item| if let Item::Members(all) = i { all.iter().any(|m| m.id.kind() == Kind::Placement) } else { false };
+    let told =
+        |i: &Update| if let Update::Members(all) = i { all.iter().any(|m| m.id.kind() == DaemonKind::Placement) } else { false };
     assert!(!f.fakes.values().any(|x| x.news.iter().any(told)));
     let at = f.primary().unwrap();
     assert!(f.cores[&at].hard.members.contains_key(&at));
@@ -296,7 +297,7 @@
 #[test]
 fn zones_that_are_sure_are_acknowledged_whatever_stands() {
     let mut f = Fleet::whole();
-    let zone = |z: &str, empty| Ask::Zone { zone: z.into(), empty, sure: true };
+    let zone = |z: &str, empty| ApiRequest::SetZoneEmpty { zone: z.into(), empty, sure: true };
     for z in ["z1", "z2", "z3", "nowhere"] {
         assert_eq!(f.ask(zone(z, true)).code, 200, "{z}");
     }
@@ -311,17 +312,17 @@
     assert_eq!(f.ask(zone("z1", false)).code, 200);
     assert_eq!(f.committed(), at + 1);
     // Without `sure`, the last zone with work is kept and names are checked.
-    assert_eq!(f.ask(Ask::Zone { zone: "nowhere".into(), empty: true, sure: false }).code, 404);
-    assert_eq!(f.ask(Ask::Zone { zone: "z1".into(), empty: true, sure: false }).code, 409);
+    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "nowhere".into(), empty: true, sure: false }).code, 404);
+    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, sure: false }).code, 409);
 }
 
 #[test]
 fn a_restoring_told_while_the_emptying_is_under_way_is_not_lost() {
     let mut f = Fleet::whole();
     let at = f.primary().unwrap();
-    let zone = |empty| Ask::Zone { zone: "z1".into(), empty, sure: true };
-    f.step_alone(&at, Event::Ask(AskId(901), zone(true)));
-    f.step_alone(&at, Event::Ask(AskId(902), zone(false)));
+    let zone = |empty| ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, sure: true };
+    f.step_alone(&at, Event::Request(RequestId(901), zone(true)));
+    f.step_alone(&at, Event::Request(RequestId(902), zone(false)));
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 200));
@@ -333,7 +334,7 @@
     let mut f = Fleet::whole();
     let idle: Vec<Value> = (0..200).map(|n| route(&format!("r-{n}"), &format!("/{n}/"))).collect();
     assert_eq!(f.put(0, &charter(1, &idle)).code, 200);
-    let one = f.ask(Ask::CharterShow).body.unwrap().len();
+    let one = f.ask(ApiRequest::CharterShow).body.unwrap().len();
     for n in 1..60 {
         let part = json!({"revision": n + 1, "routes": [route("r-0", &format!("/x{n}/"))]});
         assert_eq!(f.patch(n, &part).code, 200);
--- a/crates/placement/tests/widening.rs
+++ b/crates/placement/tests/widening.rs
@@ -24,7 +24,7 @@
     hard(f).layout.values().map(Vec::len).collect()
 }
 
-fn zones_of(f: &Fleet, set: &[(Daemon, Mark)]) -> BTreeMap<Zone, usize> {
+fn zones_of(f: &Fleet, set: &[(Daemon, IncarnationId)]) -> BTreeMap<Zone, usize> {
     let mut zones = BTreeMap::new();
     for (store, _) in set {
         *zones.entry(hard(f).members[store].zone.clone()).or_default() += 1;
--- a/crates/scale/src/axes/backlog.rs
+++ b/crates/scale/src/axes/backlog.rs
@@ -16,19 +16,19 @@
         let next = messages::load(&mut f, n as u64 / 10, 10, 0);
         f.run(Span::secs(4));
         let x = n as f64;
-        let (s, _) = f.meters(Kind::Store);
+        let (s, _) = f.meters(DaemonKind::Store);
         // Each message stands on two stores.
         axis.line("all stores: memory, bytes", "bytes", x, s.heap as f64);
-        axis.line("all stores: on disk, bytes", "bytes", x, f.disk_bytes(Kind::Store) as f64);
+        axis.line("all stores: on disk, bytes", "bytes", x, f.disk_bytes(DaemonKind::Store) as f64);
         f.reset();
         f.run(Span::secs(3));
-        let (s, _) = f.meters(Kind::Store);
+        let (s, _) = f.meters(DaemonKind::Store);
         axis.either("all stores: idle rounds, us/s", "us/s", x, s.nanos() as f64 / 1e3 / 3.0);
         // A little more is taken in on top of it.
         f.reset();
         f.told.clear();
         messages::load(&mut f, 200, 2, next);
-        let (t, _) = f.meters(Kind::Store);
+        let (t, _) = f.meters(DaemonKind::Store);
         let taken = f.told.get(&202).copied().unwrap_or(1).max(1) as f64;
         let idle = s.nanos() as f64 / 1e3 / 3.0 * 2.0;
         axis.either("all stores: taking one in, us", "us", x, (t.nanos() as f64 / 1e3 - idle).max(1.0) / taken);
@@ -54,7 +54,7 @@
                 break;
             }
         }
-        let (u, _) = f.meters(Kind::Store);
+        let (u, _) = f.meters(DaemonKind::Store);
         if done > 0 {
             axis.either("all stores: ending one, us", "us", x, u.nanos() as f64 / 1e3 / done as f64);
         }
@@ -63,6 +63,6 @@
 }
 
 fn ended(f: &mut Fleet) -> u64 {
-    let stores: Vec<Daemon> = f.shape.names().into_iter().filter(|d| d.kind() == Kind::Store).collect();
+    let stores: Vec<Daemon> = f.shape.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
     stores.iter().map(|d| f.status(d)["counts"]["ended"].as_u64().unwrap_or(0)).sum()
 }
--- a/crates/scale/src/axes/beside.rs
+++ b/crates/scale/src/axes/beside.rs
@@ -154,7 +154,7 @@
         f.run(Span::secs(8));
         f.reset();
         f.run(Span::secs(5));
-        let (m, count) = f.meters(Kind::Agent);
+        let (m, count) = f.meters(DaemonKind::Agent);
         let per = |v: f64| v / 5.0 / count.max(1) as f64;
         axis.line("hollow agent: processor time, us/s", "us/s", x, per(m.nanos() as f64 / 1e3));
         axis.line("hollow agent: bytes sent, 1/s", "B/s", x, per(m.said_bytes() as f64));
--- a/crates/scale/src/axes/changes.rs
+++ b/crates/scale/src/axes/changes.rs
@@ -25,10 +25,10 @@
         f.run(Span::secs(3));
         let calm = (
             f.meter(&primary),
-            f.meters(Kind::Agent).0,
-            f.meters(Kind::Store).0,
-            f.meters(Kind::Delivery).0,
-            f.meters(Kind::Proxy).0,
+            f.meters(DaemonKind::Agent).0,
+            f.meters(DaemonKind::Store).0,
+            f.meters(DaemonKind::Delivery).0,
+            f.meters(DaemonKind::Proxy).0,
         );
         for (turn, size) in [(1u64, 1usize), (2, 100)] {
             f.reset();
@@ -37,14 +37,15 @@
                 (0..size.min(n)).map(|i| json!({"name": format!("destination-{i:07}"), "allowance": 20 + turn})).collect();
             let base = f.status(&primary)["charter"].as_str().unwrap_or_default().to_string();
             let charge =
-                Charge { op: format!("scale-{turn}"), base, json: json!({ "endpoints": ends }).to_string(), patch: true };
+                ApplyRequest { op: format!("scale-{turn}"), base, json: json!({ "endpoints": ends }).to_string(), patch: true };
             let began = f.now;
-            f.ask(&primary, AskId(turn), Ask::Apply(charge));
+            f.ask(&primary, RequestId(turn), ApiRequest::Apply(charge));
             f.run(Span::secs(3));
-            if f.verdicts.get(&AskId(turn)).is_none_or(|v| v.code != 200) {
+            if f.verdicts.get(&RequestId(turn)).is_none_or(|v| v.code != 200) {
                 continue;
             }
-            let last = f.notes.iter().filter(|n| n.2 == Note::CharterHeld).map(|n| n.0.since(began)).max().unwrap_or_default();
+            let last =
+                f.notes.iter().filter(|n| n.2 == LogEvent::CharterHeld).map(|n| n.0.since(began)).max().unwrap_or_default();
             let name = |what: &str| format!("change of {size}: {what}");
             axis.either(&name("in force everywhere after, ms"), "ms", x, last.as_millis() as f64);
             let p = f.meter(&primary);
@@ -60,10 +61,10 @@
             axis.either(&name("primary, us"), "us", x, (spent(&p) - spent(&calm.0)).max(0.1));
             axis.line(&name("primary's saves, bytes"), "bytes", x, p.saved_bytes as f64);
             for (who, kind, c) in [
-                ("an agent", Kind::Agent, &calm.1),
-                ("a store", Kind::Store, &calm.2),
-                ("a delivery", Kind::Delivery, &calm.3),
-                ("a proxy", Kind::Proxy, &calm.4),
+                ("an agent", DaemonKind::Agent, &calm.1),
+                ("a store", DaemonKind::Store, &calm.2),
+                ("a delivery", DaemonKind::Delivery, &calm.3),
+                ("a proxy", DaemonKind::Proxy, &calm.4),
             ] {
                 let (m, count) = f.meters(kind);
                 // The news alone: the daemon's rounds go on beside it.
--- a/crates/scale/src/axes/daemons.rs
+++ b/crates/scale/src/axes/daemons.rs
@@ -16,15 +16,15 @@
         f.reset();
         let secs = 5.0;
         f.run(Span::secs(5));
-        let (agents, count) = f.meters(Kind::Agent);
+        let (agents, count) = f.meters(DaemonKind::Agent);
         let mine = |kinds: &[&str]| bytes_of(&agents, kinds) / secs / count as f64;
-        axis.either("agent: processor time, us/s", "us/s", all, micros(&f, Kind::Agent, secs));
+        axis.either("agent: processor time, us/s", "us/s", all, micros(&f, DaemonKind::Agent, secs));
         axis.line("agent: heartbeats, bytes/s", "B/s", all, mine(&["beat", "doubts"]));
         axis.line("agent: pulls and news, bytes/s", "B/s", all, mine(&["need", "news"]));
-        axis.line("agent: control, bytes/s", "B/s", all, control_bytes(&f, Kind::Agent, secs));
+        axis.line("agent: control, bytes/s", "B/s", all, control_bytes(&f, DaemonKind::Agent, secs));
         let frames = agents.control_frames() as f64 / secs / count as f64;
         axis.line("agent: control, frames/s", "1/s", all, frames);
-        axis.line("agent: memory, bytes", "bytes", all, heap(&f, Kind::Agent));
+        axis.line("agent: memory, bytes", "bytes", all, heap(&f, DaemonKind::Agent));
         let p = f.meter(&primary);
         axis.either("primary: processor time, us/s", "us/s", all, p.nanos() as f64 / 1e3 / secs);
         axis.either("primary: one pull, us", "us", all, each(&p, "need"));
@@ -48,7 +48,7 @@
         };
         axis.either("one restart: primary's processor time, us", "us", all, more(&work).max(0.1));
         axis.line("one restart: its primary's saves, bytes", "bytes", all, q.saved_bytes as f64);
-        let (b, _) = f.meters(Kind::Agent);
+        let (b, _) = f.meters(DaemonKind::Agent);
         let spent = |m: &Meter| each(m, "news") * m.took.get("news").map_or(0.0, |p| p.count as f64) / count as f64;
         axis.either("one restart: each daemon's processor time, us", "us", all, (spent(&b) - spent(&agents)).max(0.1));
     }
--- a/crates/scale/src/axes/destinations.rs
+++ b/crates/scale/src/axes/destinations.rs
@@ -21,8 +21,12 @@
         axis.either("primary: processor time, us/s", "us/s", x, p.nanos() as f64 / 1e3 / secs);
         axis.line("primary: memory, bytes", "bytes", x, p.heap as f64);
         axis.line("primary: control, bytes/s", "B/s", x, p.control_bytes() as f64 / secs);
-        for (name, kind) in [("store", Kind::Store), ("delivery", Kind::Delivery), ("agent", Kind::Agent), ("proxy", Kind::Proxy)]
-        {
+        for (name, kind) in [
+            ("store", DaemonKind::Store),
+            ("delivery", DaemonKind::Delivery),
+            ("agent", DaemonKind::Agent),
+            ("proxy", DaemonKind::Proxy),
+        ] {
             axis.either(&format!("{name}: processor time, us/s"), "us/s", x, micros(&f, kind, secs));
             axis.line(&format!("{name}: control, bytes/s"), "B/s", x, control_bytes(&f, kind, secs));
             axis.line(&format!("{name}: memory, bytes"), "bytes", x, heap(&f, kind));
--- a/crates/scale/src/axes/frames.rs
+++ b/crates/scale/src/axes/frames.rs
@@ -39,8 +39,8 @@
     let (a, b) = (startup("store-1", free_port()?)?, startup("store-2", free_port()?)?);
     let (ring, heard) = bounded(64);
     let (cuts, _untold) = bounded(64);
-    let (one, _unheard) = wires::bind(&a, a.member(Mark(1))).ok()?;
-    let (two, sockets) = wires::bind(&b, b.member(Mark(2))).ok()?;
+    let (one, _unheard) = wires::bind(&a, a.member(IncarnationId(1))).ok()?;
+    let (two, sockets) = wires::bind(&b, b.member(IncarnationId(2))).ok()?;
     let to = Daemon("store-2".into());
     one.learn(&to, &b.listen);
     // One thread for each end, as in two daemons.
@@ -62,11 +62,11 @@
             Some(())
         })
     });
-    let place = Place { tenant: "t".into(), waitlist: "w".into(), part: 0 };
+    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), part: 0 };
     let body = Bytes::from(vec![7u8; len]);
     let say = || {
         let all = vec![(MessageId("event".into()), body.clone())];
-        let frame = one.frame(&to, Msg::Bodies { place: place.clone(), epoch: Epoch::ZERO, all });
+        let frame = one.frame(&to, PeerMessage::Bodies { place: place.clone(), epoch: Epoch::ZERO, all });
         let sent = frame.is_some_and(|f| words.send(f).is_ok());
         sent && heard.recv_timeout(Duration::from_secs(2)).is_ok()
     };
--- a/crates/scale/src/axes/holders.rs
+++ b/crates/scale/src/axes/holders.rs
@@ -31,7 +31,7 @@
         axis.either("primary: one pull with a report, us", "us", x, each(&p, "need with report"));
         axis.either("primary: processor time, us/s", "us/s", x, p.nanos() as f64 / 1e3 / secs);
         axis.line("primary: control, bytes/s", "B/s", x, p.control_bytes() as f64 / secs);
-        for (name, kind) in [("store", Kind::Store), ("delivery", Kind::Delivery)] {
+        for (name, kind) in [("store", DaemonKind::Store), ("delivery", DaemonKind::Delivery)] {
             axis.either(&format!("{name}: processor time, us/s"), "us/s", x, micros(&f, kind, secs));
             axis.either(&format!("{name}: control, bytes/s"), "B/s", x, control_bytes(&f, kind, secs));
         }
--- a/crates/scale/src/axes/members.rs
+++ b/crates/scale/src/axes/members.rs
@@ -22,13 +22,13 @@
             std::hint::black_box(dw_membership::prelude::watchers(&m.id, &spots, 3));
         }
         axis.either("naming one daemon's watchers, us", "us", x, (nanos() - t) as f64 / 1e3 / rounds as f64);
-        let item = Item::Members(members);
+        let item = Update::Members(members);
         let t = nanos();
         let bytes = encode(&item);
         axis.either("the list as news, written, us", "us", x, (nanos() - t) as f64 / 1e3);
         axis.line("the list as news, bytes", "bytes", x, bytes.len() as f64);
         let t = nanos();
-        std::hint::black_box(decode::<Item>(&bytes).is_ok());
+        std::hint::black_box(decode::<Update>(&bytes).is_ok());
         axis.either("the list as news, read, us", "us", x, (nanos() - t) as f64 / 1e3);
     }
     axis.fitted()
@@ -38,5 +38,5 @@
     let shape = Shape { agents: n, stores: 0, deliveries: 0, ..Shape::default() };
     let spots: Vec<Spot> = shape.members().into_iter().map(|m| Spot { zone: m.zone, id: m.id }).collect();
     let me = spots[spots.len() - 1].clone();
-    (Watch::new(me, Mark(1), BeatPace::default()), spots)
+    (Watch::new(me, IncarnationId(1), BeatPace::default()), spots)
 }
--- a/crates/scale/src/axes/mod.rs
+++ b/crates/scale/src/axes/mod.rs
@@ -42,15 +42,15 @@
 }
 
 /// Microseconds of processor time a second, of each daemon of a kind.
-fn micros(f: &Fleet, kind: Kind, secs: f64) -> f64 {
+fn micros(f: &Fleet, kind: DaemonKind, secs: f64) -> f64 {
     let (m, n) = f.meters(kind);
     m.nanos() as f64 / 1000.0 / secs / n.max(1) as f64
 }
-fn heap(f: &Fleet, kind: Kind) -> f64 {
+fn heap(f: &Fleet, kind: DaemonKind) -> f64 {
     let (m, n) = f.meters(kind);
     m.heap as f64 / n.max(1) as f64
 }
-fn control_bytes(f: &Fleet, kind: Kind, secs: f64) -> f64 {
+fn control_bytes(f: &Fleet, kind: DaemonKind, secs: f64) -> f64 {
     let (m, n) = f.meters(kind);
     m.control_bytes() as f64 / secs / n.max(1) as f64
 }
--- a/crates/scale/src/axes/partitions.rs
+++ b/crates/scale/src/axes/partitions.rs
@@ -33,13 +33,17 @@
         axis.either("primary: processor time, us/s", "us/s", x, p.nanos() as f64 / 1e3 / secs);
         axis.line("primary: control, bytes/s", "B/s", x, p.control_bytes() as f64 / secs);
         axis.line("primary: memory, bytes", "bytes", x, p.heap as f64);
-        for (name, kind) in [("store", Kind::Store), ("delivery", Kind::Delivery), ("agent", Kind::Agent), ("proxy", Kind::Proxy)]
-        {
+        for (name, kind) in [
+            ("store", DaemonKind::Store),
+            ("delivery", DaemonKind::Delivery),
+            ("agent", DaemonKind::Agent),
+            ("proxy", DaemonKind::Proxy),
+        ] {
             axis.either(&format!("{name}: processor time, us/s"), "us/s", x, micros(&f, kind, secs));
             axis.line(&format!("{name}: control, bytes/s"), "B/s", x, control_bytes(&f, kind, secs));
             axis.line(&format!("{name}: memory, bytes"), "bytes", x, heap(&f, kind));
         }
-        let disk = f.disk_bytes(Kind::Store) as f64 / 6.0;
+        let disk = f.disk_bytes(DaemonKind::Store) as f64 / 6.0;
         axis.line("store: on disk, bytes", "bytes", x, disk);
     }
     axis.fitted()
--- a/crates/scale/src/axes/reports.rs
+++ b/crates/scale/src/axes/reports.rs
@@ -8,14 +8,14 @@
     let mut axis = Axis::new("reports", "entries of one kind in one frame", "one frame, written and read");
     let shape = Shape::default();
     let me = shape.member(&Daemon("delivery-00001".into()));
-    let place = |n: usize| Place { tenant: format!("outside-{:06}", n / 50), waitlist: format!("to-{n:07}"), part: 0 };
+    let place = |n: usize| PartitionId { tenant: format!("outside-{:06}", n / 50), waitlist: format!("to-{n:07}"), part: 0 };
     let keeper = Daemon("store-00001".into());
     let epoch = Epoch { term: Term(7), count: 1_234_567 };
     for n in sizes(quick, &[10, 100, 1000, 10_000]) {
-        let need = |report: Report| Msg::Need {
+        let need = |report: Report| PeerMessage::Pull {
             asked: Time(1 << 40),
             heard: (Term(7), Time(1 << 40)),
-            have: Vector::default(),
+            have: VersionVector::default(),
             me: me.clone(),
             report: Some(report),
             reads_compressed: false,
@@ -26,9 +26,9 @@
         let held = (0..n).map(|i| (place(i), 123_456)).collect();
         let seen = (0..n).map(|i| (Duty::Endpoint(format!("destination-{i:07}")), me.id.clone())).collect();
         let assigned = (0..n).map(|i| (place(i), keeper.clone())).collect();
-        let set: Vec<(Daemon, Mark)> =
+        let set: Vec<(Daemon, IncarnationId)> =
             (1..=3).map(|i| Daemon(format!("store-{i:05}"))).map(|d| (d.clone(), mark_of(&d))).collect();
-        let grant = |duty: Duty, set: Vec<(Daemon, Mark)>| Grant {
+        let grant = |duty: Duty, set: Vec<(Daemon, IncarnationId)>| Grant {
             duty,
             epoch,
             set,
@@ -37,7 +37,7 @@
             shed: false,
             slice: None,
         };
-        let news = |items: Vec<(Version, Item)>, grants: Vec<Grant>| Msg::News {
+        let news = |items: Vec<(Version, Update)>, grants: Vec<Grant>| PeerMessage::PullResponse {
             asked: Time(1 << 40),
             term: Term(7),
             fresh: Some(Span::millis(2500)),
@@ -45,7 +45,7 @@
             grants,
             late: Vec::new(),
         };
-        let places = (0..n).map(|i| (place(i), Placing { keeper: keeper.clone(), epoch })).collect();
+        let places = (0..n).map(|i| (place(i), PartitionLocation { keeper: keeper.clone(), epoch })).collect();
         let all = [
             ("a delivery's claims", need(Report { claims, ..Report::default() })),
             ("a store's claims and counts", need(Report { claims: kept, held, ..Report::default() })),
@@ -56,13 +56,13 @@
                 news(Vec::new(), (0..n).map(|i| grant(Duty::Endpoint(format!("destination-{i:07}")), Vec::new())).collect()),
             ),
             ("a store's grants", news(Vec::new(), (0..n).map(|i| grant(Duty::Keep(place(i)), set.clone())).collect())),
-            ("places as news", news(vec![(epoch, Item::Places(places))], Vec::new())),
+            ("places as news", news(vec![(epoch, Update::Partitions(places))], Vec::new())),
         ];
         for (name, msg) in all {
             let t = nanos();
             let frame = encode(&msg);
             let wrote = nanos();
-            std::hint::black_box(decode::<Msg>(&frame).is_ok());
+            std::hint::black_box(decode::<PeerMessage>(&frame).is_ok());
             let read = nanos();
             axis.line(&format!("{name}: bytes"), "bytes", n as f64, frame.len() as f64);
             axis.line(&format!("{name}: written and read, us"), "us", n as f64, ((wrote - t) + (read - wrote)) as f64 / 1e3);
--- a/crates/scale/src/axes/routes.rs
+++ b/crates/scale/src/axes/routes.rs
@@ -15,11 +15,15 @@
         f.reset();
         let (x, secs) = (n as f64, 3u64);
         super::messages::load(&mut f, 200, secs, 0);
-        let (proxies, _) = f.meters(Kind::Proxy);
+        let (proxies, _) = f.meters(DaemonKind::Proxy);
         axis.line("charter, bytes", "bytes", x, text.len() as f64);
         axis.either("proxy: taking one message in, us", "us", x, each(&proxies, "ask"));
-        for (name, kind) in [("store", Kind::Store), ("delivery", Kind::Delivery), ("agent", Kind::Agent), ("proxy", Kind::Proxy)]
-        {
+        for (name, kind) in [
+            ("store", DaemonKind::Store),
+            ("delivery", DaemonKind::Delivery),
+            ("agent", DaemonKind::Agent),
+            ("proxy", DaemonKind::Proxy),
+        ] {
             axis.line(&format!("{name}: memory, bytes"), "bytes", x, heap(&f, kind));
             axis.either(&format!("{name}: processor time, us/s"), "us/s", x, micros(&f, kind, secs as f64));
         }
--- a/crates/scale/src/axes/take_over.rs
+++ b/crates/scale/src/axes/take_over.rs
@@ -15,12 +15,12 @@
         f.notes.clear();
         let killed = f.now;
         f.kill(&primary);
-        let when = |f: &Fleet, what: Note| f.notes.iter().find(|n| n.2 == what).map(|n| n.0);
-        if !f.run_until(Span::secs(12), |f| when(f, Note::Serving).is_some()) {
+        let when = |f: &Fleet, what: LogEvent| f.notes.iter().find(|n| n.2 == what).map(|n| n.0);
+        if !f.run_until(Span::secs(12), |f| when(f, LogEvent::Serving).is_some()) {
             continue;
         }
-        let (Some(won), Some(serves)) = (when(&f, Note::Won), when(&f, Note::Serving)) else { continue };
-        let heir = f.notes.iter().find(|n| n.2 == Note::Serving).map(|n| n.1.clone()).unwrap_or_default();
+        let (Some(won), Some(serves)) = (when(&f, LogEvent::ElectedPrimary), when(&f, LogEvent::Serving)) else { continue };
+        let heir = f.notes.iter().find(|n| n.2 == LogEvent::Serving).map(|n| n.1.clone()).unwrap_or_default();
         let m = f.meter(&heir);
         let reports = m.took.get("need with report").copied().unwrap_or_default();
         axis.either("from the kill to elected, ms", "ms", x, won.since(killed).as_millis() as f64);
--- a/crates/scale/src/axes/workers.rs
+++ b/crates/scale/src/axes/workers.rs
@@ -11,16 +11,16 @@
         let (x, secs) = (n as f64, 4.0);
         f.run(Span::secs(4));
         let p = f.meter(&primary);
-        let (d, count) = f.meters(Kind::Delivery);
+        let (d, count) = f.meters(DaemonKind::Delivery);
         let back = d.took.get("back").copied().unwrap_or_default();
         axis.either("primary: processor time, us/s", "us/s", x, p.nanos() as f64 / 1e3 / secs);
         axis.line("primary: memory, bytes", "bytes", x, p.heap as f64);
         axis.line("delivery: loads asked, 1/s", "1/s", x, back.count as f64 / secs / count as f64);
-        axis.either("delivery: processor time, us/s", "us/s", x, micros(&f, Kind::Delivery, secs));
-        axis.line("delivery: memory, bytes", "bytes", x, heap(&f, Kind::Delivery));
-        axis.line("delivery: control, bytes/s", "B/s", x, control_bytes(&f, Kind::Delivery, secs));
-        axis.line("agent: memory, bytes", "bytes", x, heap(&f, Kind::Agent));
-        let list = Item::Workers(listed(&f));
+        axis.either("delivery: processor time, us/s", "us/s", x, micros(&f, DaemonKind::Delivery, secs));
+        axis.line("delivery: memory, bytes", "bytes", x, heap(&f, DaemonKind::Delivery));
+        axis.line("delivery: control, bytes/s", "B/s", x, control_bytes(&f, DaemonKind::Delivery, secs));
+        axis.line("agent: memory, bytes", "bytes", x, heap(&f, DaemonKind::Agent));
+        let list = Update::Workers(listed(&f));
         axis.line("the list as news, bytes", "bytes", x, encode(&list).len() as f64);
     }
     axis.fitted()
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -23,8 +23,8 @@
     Frame(Box<[u8]>),
     Saved(u64),
     Loaded(u64, Option<Bytes>),
-    Back(CallId, Reply),
-    Ask(AskId, Ask),
+    Back(CallId, CallResult),
+    Ask(RequestId, ApiRequest),
 }
 
 struct Node {
@@ -51,8 +51,8 @@
     pub working: bool,
     /// What each verdict's code was told how often.
     pub told: BTreeMap<u16, u64>,
-    pub verdicts: BTreeMap<AskId, Verdict>,
-    pub notes: Vec<(Time, Daemon, Note)>,
+    pub verdicts: BTreeMap<RequestId, ApiResponse>,
+    pub notes: Vec<(Time, Daemon, LogEvent)>,
     pub bounds: Bounds,
 }
 
@@ -94,7 +94,7 @@
     /// Adds one daemon as its program would start it.
     pub fn add(&mut self, id: Daemon, hard: &Hard) {
         let disk: BTreeMap<String, Bytes> = match id.kind() {
-            Kind::Placement => self.shape.folder(&id, hard).into_iter().collect(),
+            DaemonKind::Placement => self.shape.folder(&id, hard).into_iter().collect(),
             _ => BTreeMap::new(),
         };
         let at = self.nodes.len();
@@ -121,18 +121,18 @@
     }
 
     /// Each start is another life, as its peers see it.
-    fn life_of(&self, at: usize) -> Mark {
-        Mark(LIFE.0 + self.nodes[at].life)
+    fn life_of(&self, at: usize) -> IncarnationId {
+        IncarnationId(LIFE.0 + self.nodes[at].life)
     }
 
-    fn build(&self, id: &Daemon, life: Mark, files: Vec<(String, Bytes)>) -> (Box<dyn Core>, Vec<Effect>) {
+    fn build(&self, id: &Daemon, life: IncarnationId, files: Vec<(String, Bytes)>) -> (Box<dyn Core>, Vec<Effect>) {
         let mut me = self.shape.member(id);
-        (me.disk, me.life) = (Mark(0), life);
+        (me.disk, me.life) = (IncarnationId(0), life);
         let (seeds, times, b) = (self.shape.seeds(), Times::default(), &self.bounds);
         let (pull, terms) = (Span::millis(times.pull), times.terms());
         let seed = hash_of(id.as_str().as_bytes());
         match id.kind() {
-            Kind::Placement => {
+            DaemonKind::Placement => {
                 let s = Placer {
                     seeds,
                     me,
@@ -151,7 +151,7 @@
                 let (c, e) = Placement::new(s, files, mark_of(id), false, self.now);
                 (Box::new(c), e)
             }
-            Kind::Store => {
+            DaemonKind::Store => {
                 let s = Keeper {
                     me,
                     seeds,
@@ -170,12 +170,12 @@
                 let (c, e) = Store::new(s, &files, mark_of(id), self.now);
                 (Box::new(c), e)
             }
-            Kind::Delivery => {
+            DaemonKind::Delivery => {
                 let s = Carrier { me, seeds, pull, terms, hands_max: b.hands, cold_slack: 2.5, seed };
                 (Box::new(Delivery::new(s, self.now)), Vec::new())
             }
-            Kind::Agent => (Box::new(Agent::new(me, seeds, pull, terms)), Vec::new()),
-            Kind::Proxy | Kind::Other => {
+            DaemonKind::Agent => (Box::new(Agent::new(me, seeds, pull, terms)), Vec::new()),
+            DaemonKind::Proxy | DaemonKind::Other => {
                 let agent = Daemon(id.as_str().replace("proxy", "agent"));
                 let s = Edge {
                     me,
@@ -210,13 +210,13 @@
         // Whatever comes from outside is made anew here, so that it counts as
         // the core's own from now on; `ev` is let go of after the count.
         let (kind, bytes, event) = match &ev {
-            Ev::Clock => ("clock", 0, Event::Clock),
+            Ev::Clock => ("clock", 0, Event::Tick),
             Ev::Saved(n) => ("saved", 0, Event::Saved(*n)),
             Ev::Loaded(n, b) => ("loaded", 0, Event::Loaded(*n, b.as_ref().map(|b| Bytes::copy_from_slice(b)))),
-            Ev::Back(id, r) => ("back", 0, Event::Back(*id, r.clone())),
-            Ev::Ask(id, ask) => ("ask", 0, Event::Ask(*id, own(ask))),
+            Ev::Back(id, r) => ("back", 0, Event::CallFinished(*id, r.clone())),
+            Ev::Ask(id, ask) => ("ask", 0, Event::Request(*id, own(ask))),
             Ev::Frame(frame) => match Envelope::open(frame, &self.cluster, &self.nodes[at].id) {
-                Ok(e) => (kind_of(&e.msg), frame.len() as u64, Event::Hear { from: e.from, msg: e.msg }),
+                Ok(e) => (kind_of(&e.msg), frame.len() as u64, Event::MessageReceived { from: e.from, msg: e.msg }),
                 Err(_) => return,
             },
         };
@@ -235,7 +235,7 @@
         let mut gone = 0;
         for e in effects.drain(..) {
             match e {
-                Effect::Say(to, msg) => gone += self.say(at, to, msg),
+                Effect::Send(to, msg) => gone += self.say(at, to, msg),
                 Effect::Save { n, name, bytes } => {
                     let node = &mut self.nodes[at];
                     node.meter.saved_files += 1;
@@ -259,7 +259,7 @@
                     gone += freed(call);
                     self.push(self.now + RUN, at, Ev::Back(id, reply));
                 }
-                Effect::Tell(id, v) => {
+                Effect::Respond(id, v) => {
                     *self.told.entry(v.code).or_default() += 1;
                     if id.0 < 1000 {
                         self.verdicts.insert(id, v);
@@ -267,9 +267,16 @@
                         gone += freed(v);
                     }
                 }
-                Effect::Note(note, text) => {
+                Effect::Log(note, text) => {
                     gone += freed(text);
-                    if matches!(note, Note::Won | Note::Serving | Note::CharterHeld | Note::Aggregating | Note::Opened) {
+                    if matches!(
+                        note,
+                        LogEvent::ElectedPrimary
+                            | LogEvent::Serving
+                            | LogEvent::CharterHeld
+                            | LogEvent::CollectingReports
+                            | LogEvent::PartitionOpened
+                    ) {
                         self.notes.push((self.now, self.nodes[at].id.clone(), note));
                     }
                 }
@@ -279,12 +286,12 @@
         self.nodes[at].meter.heap -= gone + freed(effects);
     }
 
-    fn say(&mut self, at: usize, to: Daemon, msg: Msg) -> i64 {
+    fn say(&mut self, at: usize, to: Daemon, msg: PeerMessage) -> i64 {
         let kind = kind_of(&msg);
         let me = self.shape.member(&self.nodes[at].id);
         let made = nanos();
         let e = Envelope {
-            speech: SPEECH,
+            speech: PROTOCOL_VERSION,
             cluster: self.cluster.clone(),
             from: me.id,
             addr: me.addr,
@@ -300,7 +307,7 @@
         (p.count, p.nanos, p.bytes) = (p.count + 1, p.nanos + spent, p.bytes + frame.len() as u64);
         let Envelope { to, msg, .. } = e;
         // A frame over the bound is dropped by the shell: it never arrives.
-        if frame.len() <= FRAME_MAX {
+        if frame.len() <= MAX_FRAME_BYTES {
             if let Some(i) = self.index.get(&to).copied() {
                 self.push(self.now + TRIP, i, Ev::Frame(frame.into_boxed_slice()));
             }
@@ -308,13 +315,13 @@
         freed((to, msg))
     }
 
-    fn reply(&self, call: &Call) -> Reply {
+    fn reply(&self, call: &Call) -> CallResult {
         if call.path == "/workers" {
-            return Reply::Got { code: 200, load: None, draining: false, body: self.listed.clone() };
+            return CallResult::Answered { code: 200, load: None, draining: false, body: self.listed.clone() };
         }
         match self.working {
-            true => Reply::Got { code: 200, load: Some(0), draining: false, body: Bytes::new() },
-            false => Reply::Lost(Sent::No),
+            true => CallResult::Answered { code: 200, load: Some(0), draining: false, body: Bytes::new() },
+            false => CallResult::Failed(SendState::NotSent),
         }
     }
 
@@ -350,7 +357,7 @@
         holds(self)
     }
 
-    pub fn ask(&mut self, to: &Daemon, id: AskId, ask: Ask) {
+    pub fn ask(&mut self, to: &Daemon, id: RequestId, ask: ApiRequest) {
         if let Some(i) = self.index.get(to).copied() {
             self.push(self.now, i, Ev::Ask(id, ask));
         }
@@ -360,10 +367,12 @@
         let now = self.now;
         let Some(i) = self.index.get(id).copied() else { return Default::default() };
         let Some(core) = self.nodes[i].core.as_mut() else { return Default::default() };
-        let (told, rest): (Vec<Effect>, Vec<Effect>) =
-            core.step(Event::Ask(AskId(0), Ask::Status), now).into_iter().partition(|e| matches!(e, Effect::Tell(AskId(0), _)));
+        let (told, rest): (Vec<Effect>, Vec<Effect>) = core
+            .step(Event::Request(RequestId(0), ApiRequest::Status), now)
+            .into_iter()
+            .partition(|e| matches!(e, Effect::Respond(RequestId(0), _)));
         self.effects(i, rest);
-        let Some(Effect::Tell(_, v)) = told.into_iter().next() else { return Default::default() };
+        let Some(Effect::Respond(_, v)) = told.into_iter().next() else { return Default::default() };
         serde_json::from_str(&v.json).unwrap_or_default()
     }
     pub fn primary(&mut self) -> Option<Daemon> {
@@ -374,7 +383,7 @@
     pub fn settle(&mut self, partitions: usize) -> Option<Daemon> {
         self.run(Span::secs(5));
         for _ in 0..40 {
-            let opened = self.notes.iter().filter(|n| n.2 == Note::Opened).count();
+            let opened = self.notes.iter().filter(|n| n.2 == LogEvent::PartitionOpened).count();
             if opened >= partitions {
                 if let Some(p) = self.primary() {
                     return Some(p);
@@ -400,13 +409,13 @@
         self.index.get(id).map(|i| self.nodes[*i].meter.clone()).unwrap_or_default()
     }
     /// The sum over all daemons of a kind, and how many they are.
-    pub fn meters(&self, kind: Kind) -> (Meter, usize) {
+    pub fn meters(&self, kind: DaemonKind) -> (Meter, usize) {
         let mut sum = Meter::default();
         let of: Vec<&Node> = self.nodes.iter().filter(|n| n.id.kind() == kind).collect();
         of.iter().for_each(|n| sum.add(&n.meter));
         (sum, of.len())
     }
-    pub fn disk_bytes(&self, kind: Kind) -> u64 {
+    pub fn disk_bytes(&self, kind: DaemonKind) -> u64 {
         self.nodes.iter().filter(|n| n.id.kind() == kind).flat_map(|n| n.disk.values()).map(|b| b.len() as u64).sum()
     }
     pub fn reset(&mut self) {
@@ -415,9 +424,9 @@
 }
 
 /// A copy that shares no bytes with the caller's.
-fn own(ask: &Ask) -> Ask {
+fn own(ask: &ApiRequest) -> ApiRequest {
     let mut ask = ask.clone();
-    if let Ask::Hand { body, .. } = &mut ask {
+    if let ApiRequest::Submit { body, .. } = &mut ask {
         *body = Bytes::copy_from_slice(body);
     }
     ask
--- a/crates/scale/src/meter.rs
+++ b/crates/scale/src/meter.rs
@@ -21,22 +21,22 @@
     pub saved_bytes: u64,
 }
 
-pub fn kind_of(m: &Msg) -> &'static str {
+pub fn kind_of(m: &PeerMessage) -> &'static str {
     match m {
-        Msg::Consensus(_) => "consensus",
-        Msg::Beat(_) => "beat",
-        Msg::Doubts { .. } => "doubts",
-        Msg::Need { report: None, .. } => "need",
-        Msg::Need { .. } => "need with report",
-        Msg::News { .. } => "news",
-        Msg::NotPrimary { .. } => "not primary",
-        Msg::Departure { .. } => "departure",
-        Msg::Primary { .. } => "primary",
-        Msg::Room { .. } => "room",
-        Msg::Offers { .. } => "offers",
-        Msg::Settled { .. } => "settled",
-        Msg::Carry { .. } => "carry",
-        Msg::Append { .. } => "append",
+        PeerMessage::Consensus(_) => "consensus",
+        PeerMessage::Heartbeat(_) => "beat",
+        PeerMessage::Suspicions { .. } => "doubts",
+        PeerMessage::Pull { report: None, .. } => "need",
+        PeerMessage::Pull { .. } => "need with report",
+        PeerMessage::PullResponse { .. } => "news",
+        PeerMessage::NotPrimary { .. } => "not primary",
+        PeerMessage::Departure { .. } => "departure",
+        PeerMessage::PrimaryElected { .. } => "primary",
+        PeerMessage::Capacity { .. } => "room",
+        PeerMessage::Offers { .. } => "offers",
+        PeerMessage::AttemptResults { .. } => "settled",
+        PeerMessage::Submit { .. } => "carry",
+        PeerMessage::Append { .. } => "append",
         _ => "other",
     }
 }
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -45,10 +45,10 @@
 /// Destinations of one tenant.
 pub const OF_TENANT: usize = 50;
 
-pub const LIFE: Mark = Mark(0x5ca1_0001);
+pub const LIFE: IncarnationId = IncarnationId(0x5ca1_0001);
 
-pub fn mark_of(d: &Daemon) -> Mark {
-    Mark(hash_of(d.as_str().as_bytes()) | 1)
+pub fn mark_of(d: &Daemon) -> IncarnationId {
+    IncarnationId(hash_of(d.as_str().as_bytes()) | 1)
 }
 
 impl Shape {
@@ -79,14 +79,14 @@
             addr: format!("{ip}:7000"),
             http: format!("{ip}:8000"),
             life: LIFE,
-            disk: if d.kind() == Kind::Store { mark_of(d) } else { Mark(0) },
+            disk: if d.kind() == DaemonKind::Store { mark_of(d) } else { IncarnationId(0) },
             machine: String::new(),
         }
     }
     /// Who pulls from the primary itself: its own replicas and the proxies,
     /// fed by their agents, are nobody's members.
     pub fn members(&self) -> Vec<Member> {
-        let pulls = |d: &&Daemon| !matches!(d.kind(), Kind::Placement | Kind::Proxy);
+        let pulls = |d: &&Daemon| !matches!(d.kind(), DaemonKind::Placement | DaemonKind::Proxy);
         self.names().iter().filter(pulls).map(|d| self.member(d)).collect()
     }
     pub fn tenant(n: usize) -> String {
@@ -131,7 +131,7 @@
         let first = Version { term: Term(1), count: 1 };
         let charter = self.charter_text();
         let rules = dw_charter::check::read(&charter).map(|c| dw_charter::prelude::compile(&c, first)).unwrap_or_default();
-        let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == Kind::Store).collect();
+        let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
         let mut layout = BTreeMap::new();
         for place in rules.lists.values().flat_map(|r| r.places()) {
             let at = hash_of(place.to_string().as_bytes()) as usize;
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -46,7 +46,7 @@
     assumed("disk", 1e8, "bytes a second one log may write"),
     assumed("store-memory", 16e9, "bytes of memory a store may have for its index"),
     coded("store-bound", 150_000.0, "messages a store holds at most by default (bounds.messages)"),
-    coded("frame", dw_wire::prelude::FRAME_MAX as f64, "bytes of the largest frame (FRAME_MAX)"),
+    coded("frame", dw_wire::prelude::MAX_FRAME_BYTES as f64, "bytes of the largest frame (FRAME_MAX)"),
     coded("commit", dw_placement::primary::COMMIT_MAX as f64, "bytes of the largest charter a primary commits (COMMIT_MAX)"),
     assumed("cells", 600.0, "cells of placement"),
     assumed("change-bytes", 300.0, "bytes of one difference, its version and its frame's part"),
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -8,7 +8,7 @@
 }
 
 fn hand(f: &mut Fleet, n: u64) {
-    let ask = Ask::Hand {
+    let ask = ApiRequest::Submit {
         tenant: Shape::tenant(0),
         waitlist: Shape::list(0),
         id: MessageId(format!("event-{n}")),
@@ -18,7 +18,7 @@
         first: false,
         body: Bytes::from_static(b"body"),
     };
-    f.ask(&Daemon("proxy-00001".into()), AskId(1000 + n), ask);
+    f.ask(&Daemon("proxy-00001".into()), RequestId(1000 + n), ask);
 }
 
 #[test]
@@ -28,14 +28,14 @@
     (0..50).for_each(|n| hand(&mut f, n));
     f.run(Span::secs(3));
     assert_eq!(f.told.get(&202), Some(&50));
-    let stores: Vec<Daemon> = f.shape.names().into_iter().filter(|d| d.kind() == Kind::Store).collect();
+    let stores: Vec<Daemon> = f.shape.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
     let ended: u64 = stores.iter().map(|d| f.status(d)["counts"]["ended"].as_u64().unwrap()).sum();
     assert_eq!(ended, 50);
-    for kind in [Kind::Store, Kind::Delivery, Kind::Proxy] {
+    for kind in [DaemonKind::Store, DaemonKind::Delivery, DaemonKind::Proxy] {
         let (m, _) = f.meters(kind);
         assert!(m.nanos() > 0 && m.said_bytes() > 0, "{kind:?} is counted");
     }
-    assert!(f.meters(Kind::Store).0.saved_bytes > 50 * 4);
+    assert!(f.meters(DaemonKind::Store).0.saved_bytes > 50 * 4);
 }
 
 #[test]
@@ -44,7 +44,7 @@
         let mut f = small();
         f.reset();
         f.run(Span::secs(2));
-        [Kind::Placement, Kind::Store, Kind::Delivery, Kind::Agent].map(|k| f.meters(k).0.control_bytes())
+        [DaemonKind::Placement, DaemonKind::Store, DaemonKind::Delivery, DaemonKind::Agent].map(|k| f.meters(k).0.control_bytes())
     };
     assert_eq!(bytes(), bytes());
 }
--- a/crates/shell/src/network.rs
+++ b/crates/shell/src/network.rs
@@ -19,7 +19,7 @@
 /// Something to be sent, or an answer to be given.
 pub enum Post {
     Frame(Daemon, Vec<u8>),
-    Tell(AskId, Verdict),
+    Tell(RequestId, ApiResponse),
     Call(CallId, Call),
 }
 
@@ -153,7 +153,7 @@
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) else { return };
     tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-    log::info!("{} {}", Note::Stopping.number(), Note::Stopping.what());
+    log::info!("{} {}", LogEvent::Stopping.number(), LogEvent::Stopping.what());
     leaving.tell();
-    crate::wires::push(&ring, Event::Leave).await;
+    crate::wires::push(&ring, Event::Shutdown).await;
 }
--- a/crates/shell/src/own.rs
+++ b/crates/shell/src/own.rs
@@ -5,22 +5,22 @@
 pub struct Own;
 
 impl Outbound for Own {
-    fn request(&self, call: &Call) -> Result<Request, Reply> {
+    fn request(&self, call: &Call) -> Result<Request, CallResult> {
         let method = if call.post { http::Method::POST } else { http::Method::GET };
         let mut r = http::Request::builder().method(method).uri(&call.path).header("host", &call.addr);
         for (k, v) in &call.headers {
             let Ok(v) = http::HeaderValue::from_bytes(v.as_bytes()) else {
-                return Err(Reply::Got { code: 400, load: None, draining: false, body: Bytes::new() });
+                return Err(CallResult::Answered { code: 400, load: None, draining: false, body: Bytes::new() });
             };
             r = r.header(*k, v);
         }
-        r.body(call.body.clone()).map_err(|_| Reply::Lost(Sent::No))
+        r.body(call.body.clone()).map_err(|_| CallResult::Failed(SendState::NotSent))
     }
     fn reply(&self, _: &Call, response: Response) -> Meant {
         let (head, body) = response.into_parts();
         let word = |n: &str| head.headers.get(n).and_then(|v| v.to_str().ok());
         let load = word("dahliawick-load").and_then(|v| v.parse().ok());
         let draining = word("dahliawick-draining") == Some("1");
-        Meant { reply: Reply::Got { code: head.status.as_u16(), load, draining, body }, reuse: true }
+        Meant { reply: CallResult::Answered { code: head.status.as_u16(), load, draining, body }, reuse: true }
     }
 }
--- a/crates/shell/src/packing.rs
+++ b/crates/shell/src/packing.rs
@@ -5,7 +5,7 @@
 //! the piece is a few whole frames as the codec reads them. Every other frame
 //! of a line begins as CBOR writes a map, and stands outside of the stream.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use dw_wire::prelude::FRAME_MAX;
+use dw_wire::prelude::MAX_FRAME_BYTES;
 use std::io::{Error, ErrorKind, Result};
 use zstd::stream::raw::{CParameter, DParameter, Decoder, Encoder, InBuffer, Operation, OutBuffer};
 
@@ -88,7 +88,7 @@
         if input.pos == piece.len() && !filled {
             return Ok(unpacked);
         }
-        if unpacked.len() > FRAME_MAX {
+        if unpacked.len() > MAX_FRAME_BYTES {
             return Err(Error::new(ErrorKind::InvalidData, "a packed frame holds more than a frame may"));
         }
     }
--- a/crates/shell/src/speech.rs
+++ b/crates/shell/src/speech.rs
@@ -13,7 +13,7 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 pub enum Heard {
-    Ask(Ask),
+    Ask(ApiRequest),
     /// It can be answered without asking the core.
     Answer(Response),
 }
@@ -22,14 +22,14 @@
 pub trait Inbound: Send + Sync {
     fn hear(&self, request: &Request) -> Heard;
     /// The answer to `request`, which was heard as an ask.
-    fn answer(&self, request: &Request, verdict: Verdict) -> Response;
+    fn answer(&self, request: &Request, verdict: ApiResponse) -> Response;
 }
 
 /// What a response means. `reuse` is false when nothing more may be sent over
 /// the connection it came by.
 #[derive(Debug, PartialEq)]
 pub struct Meant {
-    pub reply: Reply,
+    pub reply: CallResult,
     pub reuse: bool,
 }
 
@@ -37,11 +37,11 @@
 pub trait Outbound: Send + Sync {
     /// A request with path and headers; its connection goes to the call's
     /// address. `Err` is the reply to a call that can't be put into words.
-    fn request(&self, call: &Call) -> Result<Request, Reply>;
+    fn request(&self, call: &Call) -> Result<Request, CallResult>;
     fn reply(&self, call: &Call, response: Response) -> Meant;
     /// What a response says by its head alone, whatever becomes of its body;
     /// `None` where the body is needed, or the head leaves the end in doubt.
-    fn reply_by_head(&self, _call: &Call, _head: ResponseHead) -> Option<Reply> {
+    fn reply_by_head(&self, _call: &Call, _head: ResponseHead) -> Option<CallResult> {
         None
     }
     /// Whether a response says that it is for another call. The call's own may
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -343,14 +343,14 @@
         let a = self.agent.as_ref().context(NeededSnafu { key: "agent" })?;
         named("agent", a)
     }
-    pub fn member(&self, life: Mark) -> Member {
+    pub fn member(&self, life: IncarnationId) -> Member {
         Member {
             id: Daemon(self.id.clone()),
             zone: Zone(self.zone.clone()),
             addr: self.announce.clone().unwrap_or_else(|| self.listen.clone()),
             http: self.fronts.first().unwrap_or(&self.http).clone(),
             life,
-            disk: Mark(0),
+            disk: IncarnationId(0),
             machine: self.machine.clone(),
         }
     }
--- a/crates/shell/tests/answers.rs
+++ b/crates/shell/tests/answers.rs
@@ -16,12 +16,12 @@
 impl Inbound for Echo {
     fn hear(&self, request: &Request) -> Heard {
         Heard::Ask(match request.uri().path() {
-            "/show" => Ask::CharterShow,
-            "/zone" => Ask::Zone { zone: Zone("z1".into()), empty: true, sure: true },
-            path => Ask::Seek { name: path.to_string(), body: false },
+            "/show" => ApiRequest::CharterShow,
+            "/zone" => ApiRequest::SetZoneEmpty { zone: Zone("z1".into()), empty: true, sure: true },
+            path => ApiRequest::LookupRouted { name: path.to_string(), body: false },
         })
     }
-    fn answer(&self, _: &Request, verdict: Verdict) -> Response {
+    fn answer(&self, _: &Request, verdict: ApiResponse) -> Response {
         let mut response = bare(verdict.code);
         *response.body_mut() = Bytes::from(verdict.json);
         response
@@ -54,10 +54,10 @@
         stream
     }
     /// The next ask.
-    async fn asked(&self) -> (AskId, Ask) {
+    async fn asked(&self) -> (RequestId, ApiRequest) {
         let events = self.events.clone();
         let event = tokio::task::spawn_blocking(move || events.recv_timeout(LONG)).await.unwrap();
-        let Ok(Event::Ask(id, ask)) = event else { panic!("no ask but {event:?}") };
+        let Ok(Event::Request(id, ask)) = event else { panic!("no ask but {event:?}") };
         (id, ask)
     }
 }
@@ -66,8 +66,8 @@
     format!("GET {path} HTTP/1.1\r\nhost: h\r\n\r\n")
 }
 
-fn verdict(code: u16, text: &str) -> Verdict {
-    Verdict::json(code, text.to_string())
+fn verdict(code: u16, text: &str) -> ApiResponse {
+    ApiResponse::json(code, text.to_string())
 }
 
 /// Reads until `text` came or the connection ended.
@@ -97,7 +97,7 @@
         asks.push(daemon.asked().await);
     }
     for (id, ask) in asks.into_iter().rev() {
-        let Ask::Seek { name, .. } = ask else { panic!("{ask:?}") };
+        let ApiRequest::LookupRouted { name, .. } = ask else { panic!("{ask:?}") };
         daemon.desk.tell(id, verdict(200, &format!("for {name}")));
     }
     for (path, stream) in &mut streams {
--- a/crates/shell/tests/calls.rs
+++ b/crates/shell/tests/calls.rs
@@ -61,18 +61,18 @@
         headers: Vec::new(),
         body: Bytes::new(),
         limit,
-        errand: Errand::Plain,
+        errand: CallKind::Plain,
     }
 }
 
 const LONG: Span = Span(20_000_000);
 
-async fn go(pool: &Arc<Pool>, addr: SocketAddr) -> Reply {
+async fn go(pool: &Arc<Pool>, addr: SocketAddr) -> CallResult {
     make(pool, &Own, call(addr, LONG)).await
 }
 
-fn ok(r: &Reply) -> bool {
-    matches!(r, Reply::Got { code: 200, .. })
+fn ok(r: &CallResult) -> bool {
+    matches!(r, CallResult::Answered { code: 200, .. })
 }
 
 /// Waits for the end of a connection while the runtime looks at its sockets.
@@ -85,34 +85,34 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
-    assert_eq!(go(&Arc::default(), addr).await, Reply::Lost(Sent::No));
+    assert_eq!(go(&Arc::default(), addr).await, CallResult::Failed(SendState::NotSent));
 }
 
 #[tokio::test]
 async fn what_is_no_address_is_not_called() {
     let mut c = call(([127, 0, 0, 1], 1).into(), LONG);
     c.addr = "nowhere".into();
-    assert_eq!(make(&Arc::default(), &Own, c).await, Reply::Lost(Sent::No));
+    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::NotSent));
 }
 
 #[tokio::test]
 async fn a_close_without_an_answer_is_a_doubt() {
     let s = serve(|_, _| None);
-    assert_eq!(go(&Arc::default(), s.addr).await, Reply::Lost(Sent::Maybe));
+    assert_eq!(go(&Arc::default(), s.addr).await, CallResult::Failed(SendState::MaybeSent));
 }
 
 #[tokio::test]
 async fn an_answer_cut_short_is_a_doubt() {
     let s = serve(|_, m| (m == 0).then(|| "HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nhalf".to_string()));
     let c = call(s.addr, Span::millis(100));
-    assert_eq!(make(&Arc::default(), &Own, c).await, Reply::Lost(Sent::Maybe));
+    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::MaybeSent));
 }
 
 #[tokio::test]
 async fn the_limit_ends_a_call_and_its_socket() {
     let s = serve(|_, _| Some(String::new()));
     let c = call(s.addr, Span::millis(50));
-    assert_eq!(make(&Arc::default(), &Own, c).await, Reply::Lost(Sent::Maybe));
+    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::MaybeSent));
     ended(s).await;
 }
 
@@ -130,7 +130,7 @@
     let s = serve(|n, m| (n > 0 || m == 0).then(|| OK.to_string()));
     let pool = Arc::default();
     assert!(ok(&go(&pool, s.addr).await));
-    assert_eq!(go(&pool, s.addr).await, Reply::Lost(Sent::Maybe));
+    assert_eq!(go(&pool, s.addr).await, CallResult::Failed(SendState::MaybeSent));
     assert!(ok(&go(&pool, s.addr).await));
 }
 
@@ -144,7 +144,7 @@
     assert!(ok(&go(&pool, s.addr).await));
     // Nobody asked for the second answer; it must not pass for one.
     let r = go(&pool, s.addr).await;
-    assert!(matches!(&r, Reply::Got { body, .. } if body == "ok"), "{r:?}");
+    assert!(matches!(&r, CallResult::Answered { body, .. } if body == "ok"), "{r:?}");
     let (n, _) = ended(s).await;
     assert_eq!(n, 0);
 }
@@ -166,7 +166,7 @@
 struct Wary;
 
 impl Outbound for Wary {
-    fn request(&self, call: &Call) -> Result<Request, Reply> {
+    fn request(&self, call: &Call) -> Result<Request, CallResult> {
         Own.request(call)
     }
     fn reply(&self, call: &Call, response: Response) -> Meant {
@@ -188,7 +188,7 @@
 async fn a_head_that_can_not_be_written_is_not_sent() {
     let mut c = call(([127, 0, 0, 1], 1).into(), LONG);
     c.headers.push(("x", "a\nb".into()));
-    assert!(matches!(make(&Arc::default(), &Own, c).await, Reply::Got { code: 400, .. }));
+    assert!(matches!(make(&Arc::default(), &Own, c).await, CallResult::Answered { code: 400, .. }));
 }
 
 /// A run that succeeded is not in doubt for the size of its answer.
@@ -198,7 +198,7 @@
     let s = serve(move |_, _| Some(format!("HTTP/1.1 200 OK\r\ncontent-length: {large}\r\n\r\n{}", "x".repeat(large))));
     let pool = Arc::default();
     for _ in 0..2 {
-        let Reply::Got { code: 200, body, .. } = go(&pool, s.addr).await else { panic!("it is lost") };
+        let CallResult::Answered { code: 200, body, .. } = go(&pool, s.addr).await else { panic!("it is lost") };
         assert_eq!(body.len(), 1 << 20);
     }
 }
--- a/crates/shell/tests/front.rs
+++ b/crates/shell/tests/front.rs
@@ -15,10 +15,10 @@
     fn hear(&self, request: &Request) -> Heard {
         match request.uri().path() {
             "/away" => Heard::Answer(bare(418)),
-            path => Heard::Ask(Ask::Seek { name: path.to_string(), body: false }),
+            path => Heard::Ask(ApiRequest::LookupRouted { name: path.to_string(), body: false }),
         }
     }
-    fn answer(&self, request: &Request, verdict: Verdict) -> Response {
+    fn answer(&self, request: &Request, verdict: ApiResponse) -> Response {
         let mut r = bare(verdict.code);
         *r.body_mut() = Bytes::from(format!("{} bytes", request.body().len()));
         r
@@ -54,8 +54,8 @@
         let (desk, events) = (self.desk.clone(), self.events.clone());
         std::thread::spawn(move || {
             for e in events {
-                if let Event::Ask(id, _) = e {
-                    desk.tell(id, Verdict::json(200, String::new()));
+                if let Event::Request(id, _) = e {
+                    desk.tell(id, ApiResponse::json(200, String::new()));
                 }
             }
         });
@@ -129,7 +129,7 @@
     s.write_all(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n").await.unwrap();
     let events = room.events.clone();
     let asked = tokio::task::spawn_blocking(move || events.recv_timeout(LONG)).await.unwrap();
-    assert!(matches!(asked, Ok(Event::Ask(..))));
+    assert!(matches!(asked, Ok(Event::Request(..))));
     drop(s);
     let gone = async {
         while room.desk.waiting() > 0 {
@@ -171,12 +171,12 @@
     busy.write_all(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n").await.unwrap();
     let events = room.events.clone();
     let asked = tokio::task::spawn_blocking(move || events.recv_timeout(LONG)).await.unwrap();
-    let Ok(Event::Ask(id, _)) = asked else { panic!("no ask") };
+    let Ok(Event::Request(id, _)) = asked else { panic!("no ask") };
     let leaving = room.leaving.clone();
     let end = tokio::spawn(async move { leaving.end().await });
     rest(&mut quiet).await;
     assert!(!end.is_finished());
-    room.desk.tell(id, Verdict::json(200, String::new()));
+    room.desk.tell(id, ApiResponse::json(200, String::new()));
     assert!(rest(&mut busy).await.starts_with("HTTP/1.1 200"));
     tokio::time::timeout(LONG, end).await.expect("it does not end").unwrap();
 }
@@ -199,7 +199,7 @@
 async fn a_full_desk_says_that_nothing_was_taken() {
     let (ring, _events) = crossbeam_channel::bounded(16);
     let desk = Desk::new(ring, 0, AskLimits { callers: LONG, operators: LONG });
-    let v = desk.ask(Ask::Ready).await;
+    let v = desk.ask(ApiRequest::Ready).await;
     assert_eq!(v.code, 503);
     assert!(v.after.is_some());
 }
--- a/crates/shell/tests/late.rs
+++ b/crates/shell/tests/late.rs
@@ -92,13 +92,13 @@
         headers: Vec::new(),
         body: Bytes::new(),
         limit,
-        errand: Errand::Plain,
+        errand: CallKind::Plain,
     }
 }
 
 async fn text(pool: &Arc<Pool>, addr: SocketAddr) -> String {
     match make(pool, &Own, call(addr, LONG)).await {
-        Reply::Got { body, .. } => String::from_utf8_lossy(&body).into_owned(),
+        CallResult::Answered { body, .. } => String::from_utf8_lossy(&body).into_owned(),
         other => format!("{other:?}"),
     }
 }
@@ -127,7 +127,7 @@
 async fn a_reset_after_the_last_byte_is_a_doubt_and_one_sending() {
     let server = serve(|_| Then::Reset);
     let reply = make(&Arc::default(), &Own, call(server.addr, LONG)).await;
-    assert_eq!(reply, Reply::Lost(Sent::Maybe));
+    assert_eq!(reply, CallResult::Failed(SendState::MaybeSent));
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
 
@@ -139,7 +139,7 @@
     // It begins to connect; then the process is frozen past the end.
     tokio::task::yield_now().await;
     std::thread::sleep(FREEZE);
-    assert_eq!(calling.await.unwrap(), Reply::Lost(Sent::No));
+    assert_eq!(calling.await.unwrap(), CallResult::Failed(SendState::NotSent));
     tokio::time::sleep(FREEZE).await;
     assert_eq!(server.requests.load(Ordering::SeqCst), 0);
 }
@@ -153,7 +153,7 @@
     // The task has not run yet when the process is frozen.
     std::thread::sleep(FREEZE);
     tokio::time::sleep(FREEZE).await;
-    assert_eq!(events.try_recv(), Ok(Event::Back(CallId(1), Reply::Lost(Sent::No))));
+    assert_eq!(events.try_recv(), Ok(Event::CallFinished(CallId(1), CallResult::Failed(SendState::NotSent))));
     assert_eq!(server.requests.load(Ordering::SeqCst), 0);
 }
 
@@ -161,7 +161,7 @@
 struct Alone;
 
 impl Outbound for Alone {
-    fn request(&self, call: &Call) -> Result<Request, Reply> {
+    fn request(&self, call: &Call) -> Result<Request, CallResult> {
         Own.request(call)
     }
     fn reply(&self, call: &Call, response: Response) -> Meant {
@@ -179,7 +179,7 @@
     assert_eq!(text(&pool, server.addr).await, "answer 1");
     for _ in 0..2 {
         let reply = make(&pool, &Alone, call(server.addr, LONG)).await;
-        assert!(matches!(reply, Reply::Got { code: 200, .. }), "{reply:?}");
+        assert!(matches!(reply, CallResult::Answered { code: 200, .. }), "{reply:?}");
     }
     assert_eq!(server.connections.load(Ordering::SeqCst), 3);
 }
@@ -189,11 +189,11 @@
 async fn an_end_of_a_call_is_not_dropped_while_the_ring_is_full() {
     let server = serve(|_| Then::Stay);
     let (ring, events) = crossbeam_channel::bounded(1);
-    ring.send(Event::Clock).unwrap();
+    ring.send(Event::Tick).unwrap();
     let caller = Caller::new(Arc::new(Own), ring);
     caller.begin(CallId(1), call(server.addr, LONG), now());
     tokio::time::sleep(FREEZE).await;
-    assert_eq!(events.try_recv(), Ok(Event::Clock));
+    assert_eq!(events.try_recv(), Ok(Event::Tick));
     let end = tokio::task::spawn_blocking(move || events.recv_timeout(FREEZE * 10)).await.unwrap();
-    assert!(matches!(end, Ok(Event::Back(CallId(1), Reply::Got { code: 200, .. }))), "{end:?}");
+    assert!(matches!(end, Ok(Event::CallFinished(CallId(1), CallResult::Answered { code: 200, .. }))), "{end:?}");
 }
--- a/crates/shell/tests/packing.rs
+++ b/crates/shell/tests/packing.rs
@@ -21,7 +21,7 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(FRAME_MAX).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// What the codec of the other side hands on.
@@ -85,9 +85,9 @@
 /// More than a frame may hold is not unpacked, however small it came.
 #[test]
 fn a_piece_that_holds_too_much_is_an_error() {
-    let huge = coded(&[vec![0; 2 * FRAME_MAX]]);
+    let huge = coded(&[vec![0; 2 * MAX_FRAME_BYTES]]);
     let mut packed = Packer::new().unwrap().pack(&huge).unwrap();
-    assert!(packed.len() < FRAME_MAX);
+    assert!(packed.len() < MAX_FRAME_BYTES);
     assert!(Unpacker::default().unpack(decoded(&mut packed).unwrap()).is_err());
 }
 
@@ -99,7 +99,7 @@
         Startup::parse(&text, "s".as_ref()).unwrap()
     };
     let own = startup("store-1");
-    let (wires, sockets) = bind(&own, own.member(Mark(1))).unwrap();
+    let (wires, sockets) = bind(&own, own.member(IncarnationId(1))).unwrap();
     let own_address = sockets.address().unwrap();
     let (ring, heard) = crossbeam_channel::bounded(64);
     let serving = tokio::spawn(dw_shell::wires::serve(wires.clone(), sockets, ring.clone()));
@@ -142,21 +142,21 @@
 ) {
     wires.learn(peer, address);
     let envelope = Envelope {
-        speech: SPEECH,
+        speech: PROTOCOL_VERSION,
         cluster: "c".into(),
         from: peer.clone(),
         addr: address.into(),
-        life: Mark(1),
+        life: IncarnationId(1),
         to: "store-1".into(),
         reads_packed,
         zone: Some(Zone(zone.into())),
-        msg: Msg::NotPrimary { leader: None },
+        msg: PeerMessage::NotPrimary { leader: None },
     };
     let mut line = tokio::net::TcpStream::connect(to).await.unwrap();
     tokio::io::AsyncWriteExt::write_all(&mut line, &coded(&[encode(&envelope)])).await.unwrap();
     let heard = heard.clone();
     let event = tokio::task::spawn_blocking(move || heard.recv_timeout(LONG)).await.unwrap().unwrap();
-    assert!(matches!(event, Event::Hear { .. }));
+    assert!(matches!(event, Event::MessageReceived { .. }));
 }
 
 #[tokio::test]
--- a/crates/shell/tests/startup.rs
+++ b/crates/shell/tests/startup.rs
@@ -27,7 +27,7 @@
     let seeds = s.seeds().unwrap();
     assert_eq!(seeds[0].id.as_str(), "placement-10.0.0.2");
     assert_eq!(seeds[0].addr, "10.0.0.2:7000");
-    assert_eq!(s.member(Mark(1)).http, "10.0.0.1:8000");
+    assert_eq!(s.member(IncarnationId(1)).http, "10.0.0.1:8000");
 }
 
 #[test]
@@ -87,5 +87,5 @@
 #[test]
 fn a_member_names_its_machine() {
     let s = read(with("machine", json!("storage-akl-a-1"))).unwrap();
-    assert_eq!(s.member(Mark(1)).machine, "storage-akl-a-1");
+    assert_eq!(s.member(IncarnationId(1)).machine, "storage-akl-a-1");
 }
--- a/crates/shell/tests/wires.rs
+++ b/crates/shell/tests/wires.rs
@@ -22,7 +22,7 @@
     fn new() -> Pair {
         let text = r#"{"cluster":"c","id":"store-1","zone":"z","listen":"127.0.0.1:0"}"#;
         let startup = Startup::parse(text, "s".as_ref()).unwrap();
-        let (wires, _sockets) = bind(&startup, startup.member(Mark(1))).unwrap();
+        let (wires, _sockets) = bind(&startup, startup.member(IncarnationId(1))).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let peer = Daemon("store-2".into());
@@ -83,7 +83,7 @@
             let heard = heard.clone();
             move || heard.recv_timeout(LONG)
         });
-        assert_eq!(told.await.unwrap(), Ok(Event::Cut(peer.clone())));
+        assert_eq!(told.await.unwrap(), Ok(Event::PeerDisconnected(peer.clone())));
     }
 }
 
--- a/crates/sim/src/day.rs
+++ b/crates/sim/src/day.rs
@@ -16,7 +16,7 @@
 /// Whether the spool is served and every proxy takes callers.
 fn ready(w: &mut World) -> bool {
     let mut serving = 0;
-    for id in founders().into_iter().filter(|d| d.kind() == Kind::Store) {
+    for id in founders().into_iter().filter(|d| d.kind() == DaemonKind::Store) {
         let Some(j) = w.status(&id) else { return false };
         serving += j["places"].as_array().into_iter().flatten().filter(|p| p["phase"] == "serving").count();
     }
@@ -34,7 +34,7 @@
     w.mail.on = true;
     w.mail.routing = script.routing.clone().unwrap_or_default();
     for id in founders() {
-        w.start(&id, id.kind() == Kind::Placement);
+        w.start(&id, id.kind() == DaemonKind::Placement);
     }
     w.state_routes();
     w.handle(Ev::Routed(Turn::Probe));
--- a/crates/sim/src/mail.rs
+++ b/crates/sim/src/mail.rs
@@ -47,7 +47,7 @@
 /// An operator's order that is sent until it gets a clear answer.
 #[derive(Clone, Debug)]
 pub struct Ordering {
-    pub ask: Ask,
+    pub ask: ApiRequest,
     pub what: What,
     /// Which placement daemon is asked next, by its place on the list.
     pub to: usize,
--- a/crates/sim/src/script/fleet.rs
+++ b/crates/sim/src/script/fleet.rs
@@ -80,7 +80,7 @@
 /// The kinds of daemon that can be added to a fleet.
 fn addable(name: &str) -> Result<String, String> {
     match Daemon(name.to_string()).kind() {
-        Kind::Placement | Kind::Store | Kind::Delivery => Ok(name.to_string()),
+        DaemonKind::Placement | DaemonKind::Store | DaemonKind::Delivery => Ok(name.to_string()),
         _ => Err(format!("'{name}' can't be added; a placement daemon, store or delivery can")),
     }
 }
