--- a/crates/sim/src/world/acts.rs
+++ b/crates/sim/src/world/acts.rs
@@ -198,10 +198,12 @@
                 }
                 self.check.unbar(&w);
             }
-            Act::Order(w) => self.operate(Ask::Drain { worker: WorkerId(w.clone()), on: true }, "", &format!("drain {w}")),
+            Act::Order(w) => {
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w.clone()), on: true }, "", &format!("drain {w}"))
+            }
             Act::Unorder(w) => {
                 self.check.unbar(&w);
-                self.operate(Ask::Drain { worker: WorkerId(w), on: false }, "", "undrain");
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w), on: false }, "", "undrain");
             }
             Act::Lose(w, n) => {
                 if let Some(m) = self.out.moods.get_mut(&w) {
@@ -218,12 +220,14 @@
                     m.slow = s;
                 }
             }
-            Act::Empty(z) => {
-                self.operate(Ask::Zone { zone: Zone(z.clone()), empty: true, sure: false }, "", &format!("empty {z}"))
-            }
+            Act::Empty(z) => self.operate(
+                ApiRequest::SetZoneEmpty { zone: Zone(z.clone()), empty: true, sure: false },
+                "",
+                &format!("empty {z}"),
+            ),
             Act::Restore(z) => {
                 self.check.restore_zone(&z);
-                self.operate(Ask::Zone { zone: Zone(z), empty: false, sure: false }, "", "restore");
+                self.operate(ApiRequest::SetZoneEmpty { zone: Zone(z), empty: false, sure: false }, "", "restore");
             }
             Act::List(x) => {
                 self.out.list_down = x == "down";
@@ -248,17 +252,17 @@
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
                 let mut c = charter(&self.shares);
                 c["tenants"][0]["share"] = json!(0);
-                let charge = Charge { op: "bad".into(), base, json: c.to_string(), patch: false };
-                self.operate(Ask::Apply(charge), "", "charter bad");
+                let charge = ApplyRequest { op: "bad".into(), base, json: c.to_string(), patch: false };
+                self.operate(ApiRequest::Apply(charge), "", "charter bad");
             }
             Act::Poison(n) => self.poison = n,
             Act::Mix(n) => self.mix = n,
             Act::Rate(n) => self.rate = n,
             Act::PlanRetire(w) => {
-                let ask = Ask::Plan { charter: None, empty: None, retire: Some(Daemon(w)) };
+                let ask = ApiRequest::Plan { charter: None, empty: None, retire: Some(Daemon(w)) };
                 self.operate(ask, "", "plan");
             }
-            Act::Retire(w) => self.operate(Ask::Retire { store: Daemon(w) }, "", "retire"),
+            Act::Retire(w) => self.operate(ApiRequest::RetireStore { store: Daemon(w) }, "", "retire"),
             Act::Fleet(act) => self.fleet_act(act),
         }
     }
--- a/crates/sim/src/world/calls.rs
+++ b/crates/sim/src/world/calls.rs
@@ -6,19 +6,19 @@
         let Some(n) = self.nodes.get(id) else { return };
         let life = n.life;
         let limit = n.real(call.limit);
-        if call.errand != Errand::Plain {
+        if call.errand != CallKind::Plain {
             return self.errand(id, life, call_id, call, limit);
         }
         let worker = Outside::at(&call.addr);
         self.calls.insert((id.clone(), life, call_id));
         let there = worker == "platform" || self.net.open(id.as_str(), &worker);
         let trip = Span(200 + self.rng.u64(..800));
-        let lost = |sent| Ev::Back { node: id.clone(), life, id: call_id, reply: Reply::Lost(sent) };
+        let lost = |sent| Ev::Back { node: id.clone(), life, id: call_id, reply: CallResult::Failed(sent) };
         if !there {
-            let ev = lost(Sent::No);
+            let ev = lost(SendState::NotSent);
             return self.soon(Span::millis(500).min(limit), ev);
         }
-        let ev = lost(Sent::Maybe);
+        let ev = lost(SendState::MaybeSent);
         self.soon(limit, ev);
         if self.reset(id, life, call_id) {
             return;
@@ -26,21 +26,21 @@
         self.soon(trip, Ev::Arrive { node: id.clone(), life, id: call_id, call: Box::new(call), worker });
     }
 
-    pub(super) fn back(&mut self, node: &Daemon, life: u64, id: CallId, reply: Reply) {
+    pub(super) fn back(&mut self, node: &Daemon, life: u64, id: CallId, reply: CallResult) {
         if !self.calls.remove(&(node.clone(), life, id)) || self.nodes.get(node).is_none_or(|n| n.life != life) {
             return;
         }
         let reply = self.as_received(node, life, id, reply);
-        let answered = matches!(reply, Reply::Ran { .. });
+        let answered = matches!(reply, CallResult::RunFinished { .. });
         if let (Some((post, run)), true) = (self.floor.answers.remove(&(node.clone(), life, id)), answered) {
             if self.nodes.get(node).is_some_and(|n| n.core.is_some()) {
                 self.seen.posts[post].runs[run].read = Some(self.now);
             }
         }
-        self.step(node, Event::Back(id, reply));
+        self.step(node, Event::CallFinished(id, reply));
     }
 
-    pub(super) fn reply_soon(&mut self, node: &Daemon, life: u64, id: CallId, reply: Reply) {
+    pub(super) fn reply_soon(&mut self, node: &Daemon, life: u64, id: CallId, reply: CallResult) {
         let trip = Span(200 + self.rng.u64(..800));
         self.soon(trip, Ev::Back { node: node.clone(), life, id, reply });
     }
@@ -49,7 +49,12 @@
         if !self.calls.contains(&(node.clone(), life, id)) {
             return;
         }
-        let got = |code, load, draining, text: String| Reply::Got { code, load: Some(load), draining, body: Bytes::from(text) };
+        let got = |code, load, draining, text: String| CallResult::Answered {
+            code,
+            load: Some(load),
+            draining,
+            body: Bytes::from(text),
+        };
         if worker == "platform" {
             if let Some((code, text)) = self.out.list(self.now) {
                 self.reply_soon(&node, life, id, got(code, 0, false, text));
@@ -60,7 +65,7 @@
         let port = call.addr.rsplit(':').next().and_then(|p| p.parse::<u64>().ok()).unwrap_or(80);
         let mood = self.out.moods.get(&worker).cloned().unwrap_or_default();
         if !mood.up || port != 80 + mood.life && !call.addr.starts_with("10.") {
-            return self.reply_soon(&node, life, id, Reply::Lost(Sent::No));
+            return self.reply_soon(&node, life, id, CallResult::Failed(SendState::NotSent));
         }
         if !call.post {
             return self.reply_soon(&node, life, id, got(200, mood.busy, mood.draining, "{}".into()));
@@ -126,7 +131,7 @@
     ) {
         let Some(m) = self.out.moods.get_mut(&worker) else { return };
         if !m.up || m.life != wlife {
-            return self.back(&node, life, id, Reply::Lost(Sent::Maybe));
+            return self.back(&node, life, id, CallResult::Failed(SendState::MaybeSent));
         }
         m.busy = m.busy.saturating_sub(1);
         let (load, draining) = (m.busy, m.draining);
@@ -137,7 +142,7 @@
         if !self.net.open(&worker, node.as_str()) {
             return;
         }
-        let reply = Reply::Got { code, load: Some(load), draining, body: Bytes::new() };
+        let reply = CallResult::Answered { code, load: Some(load), draining, body: Bytes::new() };
         self.reply_soon(&node, life, id, reply);
     }
 }
--- a/crates/sim/src/world/control.rs
+++ b/crates/sim/src/world/control.rs
@@ -18,7 +18,7 @@
 }
 
 /// What an operator learns from a verdict, or from none.
-pub(super) fn answer(what: &What, verdict: Option<&Verdict>) -> Answer {
+pub(super) fn answer(what: &What, verdict: Option<&ApiResponse>) -> Answer {
     let Some(verdict) = verdict else { return Answer::Unclear };
     match (verdict.code, what) {
         (200, What::Show | What::Read) => configuration(verdict),
@@ -30,7 +30,7 @@
     }
 }
 
-fn configuration(verdict: &Verdict) -> Answer {
+fn configuration(verdict: &ApiResponse) -> Answer {
     let text = verdict.body.as_ref().map(|body| String::from_utf8_lossy(body).to_string()).unwrap_or_default();
     match dw_charter::check::read(&text) {
         Ok(charter) => Answer::Configuration { revision: charter.revision, content: plain(&charter) },
@@ -43,6 +43,6 @@
     pub(super) fn read_configuration(&mut self) {
         let Some(pace) = self.reads.filter(|_| !self.stopped) else { return };
         self.soon(pace, Ev::Routed(Turn::Read));
-        self.order(Ask::CharterShow, What::Read);
+        self.order(ApiRequest::CharterShow, What::Read);
     }
 }
--- a/crates/sim/src/world/faulty_calls.rs
+++ b/crates/sim/src/world/faulty_calls.rs
@@ -39,15 +39,15 @@
         }
         self.count("calls reset", 1);
         let unsent = self.rng.bool();
-        let sent = if unsent { Sent::No } else { Sent::Maybe };
+        let sent = if unsent { SendState::NotSent } else { SendState::MaybeSent };
         let wait = Span(self.rng.u64(..RESET.0));
-        self.soon(wait, Ev::Back { node: node.clone(), life, id, reply: Reply::Lost(sent) });
+        self.soon(wait, Ev::Back { node: node.clone(), life, id, reply: CallResult::Failed(sent) });
         unsent
     }
 
     /// An answer as the daemon gets it; another copy of it may follow.
-    pub(super) fn as_received(&mut self, node: &Daemon, life: u64, id: CallId, reply: Reply) -> Reply {
-        if matches!(reply, Reply::Lost(_)) {
+    pub(super) fn as_received(&mut self, node: &Daemon, life: u64, id: CallId, reply: CallResult) -> CallResult {
+        if matches!(reply, CallResult::Failed(_)) {
             return reply;
         }
         if self.befalls(self.call_faults.extra) {
@@ -57,15 +57,15 @@
         }
         if self.befalls(self.call_faults.garbled) {
             self.count("garbled answers", 1);
-            return Reply::Lost(Sent::Maybe);
+            return CallResult::Failed(SendState::MaybeSent);
         }
         reply
     }
 
     /// An answer to a call that is over already.
-    pub(super) fn extra_answer(&mut self, node: &Daemon, life: u64, id: CallId, reply: Reply) {
+    pub(super) fn extra_answer(&mut self, node: &Daemon, life: u64, id: CallId, reply: CallResult) {
         if self.nodes.get(node).is_some_and(|n| n.life == life) {
-            self.step(node, Event::Back(id, reply));
+            self.step(node, Event::CallFinished(id, reply));
         }
     }
 }
--- a/crates/sim/src/world/fleet.rs
+++ b/crates/sim/src/world/fleet.rs
@@ -9,7 +9,7 @@
 impl World {
     /// The placement daemons of the fleet, as the operators' list has them.
     pub fn placements(&self) -> Vec<Daemon> {
-        self.fleet.iter().filter(|d| d.kind() == Kind::Placement).cloned().collect()
+        self.fleet.iter().filter(|d| d.kind() == DaemonKind::Placement).cloned().collect()
     }
 
     /// The daemon of the fleet at an address, `host:port`.
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -5,7 +5,7 @@
 
 impl World {
     /// The operator asks every placement daemon; the primary answers.
-    pub fn operate(&mut self, ask: Ask, base: &str, what: &str) {
+    pub fn operate(&mut self, ask: ApiRequest, base: &str, what: &str) {
         let (base, what) = (base.to_string(), what.to_string());
         for to in self.placements() {
             let asked = Asked::Operator { base: base.clone(), what: what.clone() };
@@ -17,13 +17,13 @@
         let json = charter(shares).to_string();
         let op = format!("op-{what}-{}", self.next_ask);
         self.operate(
-            Ask::Apply(Charge { op, base: base.into(), json: json.clone(), patch: false }),
+            ApiRequest::Apply(ApplyRequest { op, base: base.into(), json: json.clone(), patch: false }),
             base,
             &format!("charter {json}"),
         );
     }
 
-    pub(super) fn operated(&mut self, base: String, what: String, v: Option<Verdict>) {
+    pub(super) fn operated(&mut self, base: String, what: String, v: Option<ApiResponse>) {
         let unsure = v.as_ref().is_none_or(|v| v.code == 504);
         if let (true, Some(json)) = (unsure, what.strip_prefix("charter ")) {
             self.maybe.push(json.to_string());
@@ -86,7 +86,7 @@
     /// Whether a partition is served and every duty held.
     pub fn ready(&mut self) -> bool {
         let mut serving = 0;
-        for id in founders().into_iter().filter(|d| d.kind() == Kind::Store) {
+        for id in founders().into_iter().filter(|d| d.kind() == DaemonKind::Store) {
             let Some(j) = self.status(&id) else { return false };
             for p in j["places"].as_array().into_iter().flatten() {
                 serving += u64::from(p["phase"] == "serving");
@@ -103,7 +103,7 @@
             Some((a.parse().ok()?, b.parse().ok()?))
         };
         let want = read(version);
-        for id in self.all(None).into_iter().filter(|d| d.kind() != Kind::Placement) {
+        for id in self.all(None).into_iter().filter(|d| d.kind() != DaemonKind::Placement) {
             let Some(j) = self.status(&id) else { continue };
             let held = j["charter"].as_str().and_then(read);
             if j["fresh"] == json!(true) && held < want {
--- a/crates/sim/src/world/posting.rs
+++ b/crates/sim/src/world/posting.rs
@@ -30,15 +30,15 @@
         for n in 1..=3 {
             let d = Daemon(format!("proxy-{n}"));
             let at = self.next_ask;
-            match self.ask(&d, Ask::Ready, Asked::Ready(d.clone())) {
-                true => self.soon(Span::millis(900), Ev::AskTimeout(AskId(at))),
+            match self.ask(&d, ApiRequest::Ready, Asked::Ready(d.clone())) {
+                true => self.soon(Span::millis(900), Ev::AskTimeout(RequestId(at))),
                 false => self.probed(d, None),
             }
         }
         self.soon(Span::secs(1), Ev::Routed(Turn::Probe));
     }
 
-    pub(super) fn probed(&mut self, d: Daemon, v: Option<Verdict>) {
+    pub(super) fn probed(&mut self, d: Daemon, v: Option<ApiResponse>) {
         let missed = self.mail.missed.entry(d).or_default();
         match v.is_some_and(|v| v.code == 200) {
             true => *missed = 0,
@@ -109,7 +109,7 @@
         };
         let life = node.life;
         let id = format!("q{:06x}", self.seen.posts.len());
-        let parcel = Parcel {
+        let parcel = CallerRequest {
             method: "POST".into(),
             path: t.path.clone(),
             host: HOST.into(),
@@ -138,9 +138,9 @@
         }
         self.count("posts", 1);
         let at = self.next_ask;
-        let ask = Ask::Post { parcel: Box::new(parcel), delay: t.delay, desk: t.desk, body: t.body };
+        let ask = ApiRequest::SubmitRouted { parcel: Box::new(parcel), delay: t.delay, desk: t.desk, body: t.body };
         self.ask(&to, ask, Asked::Post(n, post));
-        self.soon(WORD, Ev::AskTimeout(AskId(at)));
+        self.soon(WORD, Ev::AskTimeout(RequestId(at)));
     }
 
     fn post_again(&mut self, n: usize, after: Span) {
@@ -152,7 +152,7 @@
         self.soon(after, Ev::Routed(Turn::Try(n)));
     }
 
-    pub(super) fn posted(&mut self, n: usize, post: usize, v: Option<Verdict>) {
+    pub(super) fn posted(&mut self, n: usize, post: usize, v: Option<ApiResponse>) {
         let told = v.as_ref().map(|v| format!("{} {}", v.code, v.json)).unwrap_or_default();
         let word = match v.as_ref().map(|v| v.code) {
             Some(202) => PostWord::Accepted,
@@ -197,8 +197,8 @@
         let Some(name) = self.mail.names.get(&post).cloned() else { return };
         let to = self.proxy();
         let at = self.next_ask;
-        if self.ask(&to, Ask::Seek { name, body }, Asked::Seek { post, body }) {
-            self.soon(SEEK, Ev::AskTimeout(AskId(at)));
+        if self.ask(&to, ApiRequest::LookupRouted { name, body }, Asked::Seek { post, body }) {
+            self.soon(SEEK, Ev::AskTimeout(RequestId(at)));
         }
     }
 
@@ -211,12 +211,12 @@
         }
     }
 
-    pub(super) fn sought(&mut self, post: usize, body: bool, v: Option<Verdict>) {
+    pub(super) fn sought(&mut self, post: usize, body: bool, v: Option<ApiResponse>) {
         let Some(v) = v else { return };
         let state = match (v.code, v.standing) {
-            (200, Some(Standing::Waiting)) => State::Waiting,
-            (200, Some(Standing::Done(seal))) => State::Done(seal),
-            (200, Some(Standing::Dead)) => State::Dead,
+            (200, Some(RoutedMessageStatus::Waiting)) => State::Waiting,
+            (200, Some(RoutedMessageStatus::Done(seal))) => State::Done(seal),
+            (200, Some(RoutedMessageStatus::Dead)) => State::Dead,
             (404, _) => State::None,
             _ => return self.count("not sought", 1),
         };
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -86,7 +86,7 @@
         let at = n.clock(now);
         let Some(core) = n.core.as_mut() else { return };
         if n.frozen {
-            if n.inbox.len() < 8192 && event != Event::Clock {
+            if n.inbox.len() < 8192 && event != Event::Tick {
                 n.inbox.push_back(event);
             }
             return;
@@ -103,8 +103,8 @@
                 }
             }
             match e {
-                Effect::Say(to, msg) => {
-                    let beat = matches!(msg, Msg::Beat(_));
+                Effect::Send(to, msg) => {
+                    let beat = matches!(msg, PeerMessage::Heartbeat(_));
                     self.count("frames", 1);
                     let Some(at) = self.net.arrives(id, &to, beat, self.now, &mut self.rng) else { continue };
                     let life = self.nodes.get(&to).map_or(0, |n| n.life);
@@ -113,29 +113,32 @@
                 Effect::Save { n, name, bytes } => self.job(id, Job::Save(n, name, bytes)),
                 Effect::Remove(name) => self.job(id, Job::Remove(name)),
                 Effect::Load { n, name, at, len } => self.job(id, Job::Load(n, name, at, len)),
-                Effect::Tell(ask, v) => {
+                Effect::Respond(ask, v) => {
                     if let Some(n) = self.nodes.get_mut(id) {
                         n.asks.remove(&ask);
                     }
                     self.told(ask, Some(v));
                 }
                 Effect::Call(call_id, call) => self.call(id, call_id, call),
-                Effect::Note(Note::MateMatched, text) => {
+                Effect::Log(LogEvent::MateMatched, text) => {
                     self.count("mates", 1);
                     self.say(format!("{id} 304 {text}"));
                 }
-                Effect::Note(note @ (Note::Lapse | Note::LateSuccess), text) => {
-                    let what = if note == Note::Lapse { "attempts lapsed" } else { "successes told late" };
+                Effect::Log(note @ (LogEvent::AttemptEndUnreported | LogEvent::LateSuccess), text) => {
+                    let what = if note == LogEvent::AttemptEndUnreported { "attempts lapsed" } else { "successes told late" };
                     self.count(what, 1);
                     self.say(format!("{id} {} {}: {text}", note.number(), note.what()));
                 }
                 // The core found an invariant of its own broken.
-                Effect::Note(note @ (Note::AttemptOutlived | Note::EndedHandedOut | Note::Stranded), text) => {
+                Effect::Log(
+                    note @ (LogEvent::AttemptOverran | LogEvent::EndedMessageDequeued | LogEvent::StrandedMessageRequeued),
+                    text,
+                ) => {
                     self.check.flag(format!("invariant: {id} {}: {text}", note.what()));
                 }
-                Effect::Note(note, text) => self.say(format!("{id} {} {}: {text}", note.number(), note.what())),
-                Effect::Gone => self.goes(id),
-                Effect::Learn(..) | Effect::Zone(..) => {}
+                Effect::Log(note, text) => self.say(format!("{id} {} {}: {text}", note.number(), note.what())),
+                Effect::Exit => self.goes(id),
+                Effect::SetPeerAddress(..) | Effect::SetPeerZone(..) => {}
             }
         }
     }
@@ -148,12 +151,12 @@
         if n.frozen {
             return None;
         }
-        let out = n.core.as_mut()?.step(Event::Ask(AskId(0), Ask::Status), at);
+        let out = n.core.as_mut()?.step(Event::Request(RequestId(0), ApiRequest::Status), at);
         let mut got = None;
         let mut rest = Vec::new();
         for e in out {
             match e {
-                Effect::Tell(AskId(0), v) => got = serde_json::from_str(&v.json).ok(),
+                Effect::Respond(RequestId(0), v) => got = serde_json::from_str(&v.json).ok(),
                 e => rest.push(e),
             }
         }
--- a/crates/sim/src/world/revising.rs
+++ b/crates/sim/src/world/revising.rs
@@ -24,7 +24,7 @@
 }
 
 impl World {
-    pub(super) fn order(&mut self, ask: Ask, what: What) {
+    pub(super) fn order(&mut self, ask: ApiRequest, what: What) {
         let to = self.rng.usize(..self.placements().len().max(1));
         self.mail.orders.push(Ordering { ask, what, to, tries: 0, over: false, awaited: 0, operation: 0 });
         self.order_again(self.mail.orders.len() - 1);
@@ -44,7 +44,7 @@
         let to = placements[place % placements.len()].clone();
         let at = self.next_ask;
         match self.ask(&to, ask, Asked::Order(n, tries)) {
-            true => self.soon(SILENCE, Ev::AskTimeout(AskId(at))),
+            true => self.soon(SILENCE, Ev::AskTimeout(RequestId(at))),
             false => self.order_elsewhere(n, None),
         }
     }
@@ -60,7 +60,7 @@
         self.soon(pause, Ev::Routed(Turn::Order(n)));
     }
 
-    pub(super) fn ordered(&mut self, n: usize, tries: u32, v: Option<Verdict>) {
+    pub(super) fn ordered(&mut self, n: usize, tries: u32, v: Option<ApiResponse>) {
         let now = self.now;
         let Some(o) = self.mail.orders.get_mut(n).filter(|o| !o.over && o.awaited == tries) else { return };
         self.control.answered(o.operation, answer(&o.what, v.as_ref()), now);
@@ -95,7 +95,7 @@
 
     /// The charter, read back, is the newest acknowledged or one that may
     /// have come after it, and is what was sent.
-    fn shown_back(&mut self, v: Verdict) {
+    fn shown_back(&mut self, v: ApiResponse) {
         self.mail.read_back = true;
         let text = v.body.as_ref().map(|b| String::from_utf8_lossy(b).to_string()).unwrap_or_default();
         let Ok(c) = dw_charter::check::read(&text) else {
@@ -133,7 +133,7 @@
         if valid {
             self.mail.charter = serde_json::to_value(&c).unwrap_or_default();
         }
-        self.order(Ask::Revise { base, json: text, patch }, What::Charter(self.seen.charters.len() - 1));
+        self.order(ApiRequest::Revise { base, json: text, patch }, What::Charter(self.seen.charters.len() - 1));
     }
 
     fn next_revision(&mut self) -> u64 {
@@ -287,7 +287,7 @@
     }
 
     pub(super) fn empty_routed(&mut self, zone: String) {
-        self.order(Ask::Zone { zone: Zone(zone.clone()), empty: true, sure: true }, What::Empty(zone));
+        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: true, sure: true }, What::Empty(zone));
     }
 
     /// The zone is taken back; its workers have just turned cold.
@@ -296,10 +296,10 @@
         self.seen.zones.iter_mut().filter(|z| z.0 == zone).for_each(|z| _ = z.2.get_or_insert(now));
         let cold: Vec<String> = self.floor.lives.iter().filter(|(_, w)| w.up && w.zone == zone).map(|x| x.0.clone()).collect();
         cold.iter().for_each(|w| self.chill(w));
-        self.order(Ask::Zone { zone: Zone(zone.clone()), empty: false, sure: true }, What::Restore(zone));
+        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: false, sure: true }, What::Restore(zone));
     }
 
     pub fn show_routed(&mut self) {
-        self.order(Ask::CharterShow, What::Show);
+        self.order(ApiRequest::CharterShow, What::Show);
     }
 }
--- a/crates/sim/src/world/routed.rs
+++ b/crates/sim/src/world/routed.rs
@@ -125,7 +125,7 @@
         let life = n.life;
         self.mail.leaving.insert(id.clone());
         self.soon(GRACE, Ev::Routed(Turn::Ends(id.clone(), life)));
-        self.step(id, Event::Leave);
+        self.step(id, Event::Shutdown);
     }
 
     /// It says that all is drained.
--- a/crates/sim/src/world/running.rs
+++ b/crates/sim/src/world/running.rs
@@ -8,19 +8,19 @@
     /// Calls that are not in the product's own words.
     pub(super) fn errand(&mut self, node: &Daemon, life: u64, id: CallId, call: Call, limit: Span) {
         let at = match call.errand {
-            Errand::List { .. } => "platform".to_string(),
+            CallKind::WorkerList { .. } => "platform".to_string(),
             _ => self.floor.at.get(&call.addr).cloned().unwrap_or_default(),
         };
         self.calls.insert((node.clone(), life, id));
-        let lost = |sent| Ev::Back { node: node.clone(), life, id, reply: Reply::Lost(sent) };
-        let (near, far) = (at == "platform" || self.net.open(node.as_str(), &at), lost(Sent::Maybe));
+        let lost = |sent| Ev::Back { node: node.clone(), life, id, reply: CallResult::Failed(sent) };
+        let (near, far) = (at == "platform" || self.net.open(node.as_str(), &at), lost(SendState::MaybeSent));
         if !near {
-            return self.soon(Span::millis(500).min(limit), lost(Sent::No));
+            return self.soon(Span::millis(500).min(limit), lost(SendState::NotSent));
         }
         match self.floor.spell(&at).dark {
             Some(true) if self.rng.bool() => return self.soon(limit, far),
-            Some(true) => return self.soon(Span::millis(500).min(limit), lost(Sent::No)),
-            Some(false) => return self.soon(Span::millis(1), lost(Sent::No)),
+            Some(true) => return self.soon(Span::millis(500).min(limit), lost(SendState::NotSent)),
+            Some(false) => return self.soon(Span::millis(1), lost(SendState::NotSent)),
             None => {}
         }
         self.soon(limit, far);
@@ -36,18 +36,18 @@
             return;
         }
         match call.errand {
-            Errand::List { page } => self.list_asked(&node, life, id, page),
-            Errand::Health { .. } => {
+            CallKind::WorkerList { page } => self.list_asked(&node, life, id, page),
+            CallKind::HealthCheck { .. } => {
                 let Some(w) = self.floor.lives.get(&at).filter(|w| w.up) else {
-                    return self.reply_soon(&node, life, id, Reply::Lost(Sent::No));
+                    return self.reply_soon(&node, life, id, CallResult::Failed(SendState::NotSent));
                 };
-                let reply = Reply::Health { well: !w.draining, worker: Some(WorkerId(at.clone())), load: Some(load(w)) };
+                let reply = CallResult::Health { well: !w.draining, worker: Some(WorkerId(at.clone())), load: Some(load(w)) };
                 self.count("probes", 1);
                 self.reply_soon(&node, life, id, reply)
             }
-            Errand::Tell { parcel, standing } => self.told_back(&node, life, id, &at, &parcel, standing),
-            Errand::Run { parcel, worker, span } => self.run_lands(node, life, id, at, *parcel, worker, span, call.body),
-            Errand::Plain => {}
+            CallKind::Callback { parcel, standing } => self.told_back(&node, life, id, &at, &parcel, standing),
+            CallKind::RunMessage { parcel, worker, span } => self.run_lands(node, life, id, at, *parcel, worker, span, call.body),
+            CallKind::Plain => {}
         }
     }
 
@@ -55,9 +55,9 @@
         self.count("list calls", 1);
         match self.floor.page(page.as_deref(), self.now) {
             None => {}
-            Some(Ok(page)) => self.reply_soon(node, life, id, Reply::Listed(page)),
+            Some(Ok(page)) => self.reply_soon(node, life, id, CallResult::WorkerList(page)),
             Some(Err(code)) => {
-                let reply = Reply::Got { code, load: None, draining: false, body: Bytes::new() };
+                let reply = CallResult::Answered { code, load: None, draining: false, body: Bytes::new() };
                 self.reply_soon(node, life, id, reply)
             }
         }
@@ -76,20 +76,28 @@
         }
     }
 
-    fn told_back(&mut self, node: &Daemon, life: u64, id: CallId, desk: &str, parcel: &Parcel, standing: Standing) {
+    fn told_back(
+        &mut self,
+        node: &Daemon,
+        life: u64,
+        id: CallId,
+        desk: &str,
+        parcel: &CallerRequest,
+        standing: RoutedMessageStatus,
+    ) {
         let Some(r) = self.floor.receivers.get_mut(desk) else {
-            return self.reply_soon(node, life, id, Reply::Lost(Sent::No));
+            return self.reply_soon(node, life, id, CallResult::Failed(SendState::NotSent));
         };
         if r.down || r.open >= RECEIVES {
-            return self.reply_soon(node, life, id, Reply::Lost(Sent::Maybe));
+            return self.reply_soon(node, life, id, CallResult::Failed(SendState::MaybeSent));
         }
         r.open += 1;
         let (took, fail) = (Span::millis(2) + r.slow, r.fail);
         let good = self.rng.u64(..100) >= fail;
         let state = match standing {
-            Standing::Waiting => State::Waiting,
-            Standing::Done(seal) => State::Done(seal),
-            Standing::Dead => State::Dead,
+            RoutedMessageStatus::Waiting => State::Waiting,
+            RoutedMessageStatus::Done(seal) => State::Done(seal),
+            RoutedMessageStatus::Dead => State::Dead,
         };
         let back = Back { desk: desk.to_string(), at: self.now, state, good };
         let post = self.seen.by_id.get(&parcel.id).copied().and_then(|n| self.seen.posts.get_mut(n));
@@ -97,9 +105,9 @@
             Some(p) if back.state != State::Waiting => p.backs.push(back),
             _ => self.seen.flag(format!("backs: {desk} was told {:?} of {}", back.state, parcel.id)),
         }
-        let end = if good { RunEnd::Done(String::new()) } else { RunEnd::Doubt(DoubtCause::Status(503)) };
+        let end = if good { RunOutcome::Done(String::new()) } else { RunOutcome::Unknown(UnknownOutcomeCause::Status(503)) };
         self.soon(took, Ev::Routed(Turn::Received(desk.to_string())));
-        let reply = Reply::Ran { end, load: None };
+        let reply = CallResult::RunFinished { end, load: None };
         self.soon(took, Ev::Back { node: node.clone(), life, id, reply });
     }
 
@@ -110,18 +118,18 @@
         life: u64,
         id: CallId,
         at: String,
-        parcel: Parcel,
+        parcel: CallerRequest,
         meant: Option<WorkerId>,
         span: Span,
         body: Bytes,
     ) {
         let now = self.now;
         let Some(w) = self.floor.lives.get(&at).filter(|w| w.up) else {
-            return self.reply_soon(&node, life, id, Reply::Lost(Sent::No));
+            return self.reply_soon(&node, life, id, CallResult::Failed(SendState::NotSent));
         };
         let (service, zone, load) = (w.service.clone(), w.zone.clone(), load(w));
         let full = w.running >= trade(&service).slots && w.waiting.len() >= trade(&service).queue;
-        let no = |gone| Reply::Ran { end: RunEnd::NotRun { gone }, load: Some(load) };
+        let no = |gone| CallResult::RunFinished { end: RunOutcome::NotRun { gone }, load: Some(load) };
         if meant.is_some_and(|m| m.0 != at) {
             self.count("not there", 1);
             return self.reply_soon(&node, life, id, no(true));
@@ -142,9 +150,9 @@
         if t.dedup {
             match self.floor.done.get(&(service.clone(), parcel.id.clone())) {
                 Some(Some(seal)) => {
-                    let end = RunEnd::Done(seal.clone());
+                    let end = RunOutcome::Done(seal.clone());
                     self.count("repeats known", 1);
-                    return self.reply_soon(&node, life, id, Reply::Ran { end, load: Some(load) });
+                    return self.reply_soon(&node, life, id, CallResult::RunFinished { end, load: Some(load) });
                 }
                 Some(None) => return self.reply_soon(&node, life, id, no(false)),
                 None => {}
@@ -260,15 +268,15 @@
         let run = &mut self.seen.posts[toil.post].runs[toil.run];
         run.over = Some((now, over.clone()));
         let end = match over {
-            Over::Done(seal) => RunEnd::Done(seal),
-            Over::Failed => RunEnd::Failed,
-            Over::Never => RunEnd::Never,
-            Over::Dropped => RunEnd::Doubt(DoubtCause::Status(504)),
+            Over::Done(seal) => RunOutcome::Done(seal),
+            Over::Failed => RunOutcome::Failed,
+            Over::Never => RunOutcome::PermanentFailure,
+            Over::Dropped => RunOutcome::Unknown(UnknownOutcomeCause::Status(504)),
         };
         let lost = self.rng.u64(..100) < self.floor.spell(&toil.worker).lose;
         if heard && !lost && self.net.open(&toil.worker, toil.node.as_str()) {
             self.floor.answers.insert((toil.node.clone(), toil.life, toil.call), (toil.post, toil.run));
-            self.reply_soon(&toil.node, toil.life, toil.call, Reply::Ran { end, load: Some(said) });
+            self.reply_soon(&toil.node, toil.life, toil.call, CallResult::RunFinished { end, load: Some(said) });
         }
         self.begin_runs(&toil.worker);
     }
@@ -302,7 +310,7 @@
             run.over = Some((self.now, Over::Dropped));
             let key = (run.service.clone(), self.seen.posts[t.post].id.clone());
             self.floor.done.remove(&key);
-            self.reply_soon(&t.node, t.life, t.call, Reply::Lost(Sent::Maybe));
+            self.reply_soon(&t.node, t.life, t.call, CallResult::Failed(SendState::MaybeSent));
         }
     }
 
@@ -373,6 +381,6 @@
     }
 }
 
-fn load(w: &WorkerLife) -> Load {
-    Load { running: w.running, waiting: w.waiting.len() as u32, slots: trade(&w.service).slots }
+fn load(w: &WorkerLife) -> WorkerLoad {
+    WorkerLoad { running: w.running, waiting: w.waiting.len() as u32, slots: trade(&w.service).slots }
 }
--- a/crates/sim/src/world/sending.rs
+++ b/crates/sim/src/world/sending.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 use serde_json::Value;
 
-fn word_of(v: &Option<Verdict>) -> Word {
+fn word_of(v: &Option<ApiResponse>) -> Word {
     match v {
         Some(v) if v.code == 202 => Word::Accepted,
         Some(v) if v.json.contains("\"taken\":false") => Word::NotTaken,
@@ -14,8 +14,8 @@
 impl World {
     /// Hands a caller's or operator's request to a daemon; false when nothing
     /// listens there.
-    pub fn ask(&mut self, to: &Daemon, ask: Ask, asked: Asked) -> bool {
-        let id = AskId(self.next_ask);
+    pub fn ask(&mut self, to: &Daemon, ask: ApiRequest, asked: Asked) -> bool {
+        let id = RequestId(self.next_ask);
         let Some(n) = self.nodes.get_mut(to) else { return false };
         if n.core.is_none() {
             return false;
@@ -24,18 +24,18 @@
         n.asks.insert(id);
         self.asks.insert(id, (to.clone(), asked));
         self.soon(Span::secs(6), Ev::AskTimeout(id));
-        self.step(to, Event::Ask(id, ask));
+        self.step(to, Event::Request(id, ask));
         true
     }
 
     /// Whether an answer is lost on its way to an operator, who then waits for
     /// it in vain.
-    fn answer_is_lost(&mut self, id: AskId) -> bool {
+    fn answer_is_lost(&mut self, id: RequestId) -> bool {
         let operator = matches!(self.asks.get(&id), Some((_, Asked::Operator { .. } | Asked::Order(..))));
         operator && self.lost_answers > 0 && self.rng.u64(..100) < self.lost_answers
     }
 
-    pub(super) fn told(&mut self, id: AskId, v: Option<Verdict>) {
+    pub(super) fn told(&mut self, id: RequestId, v: Option<ApiResponse>) {
         if v.is_some() && self.answer_is_lost(id) {
             return self.count("answers lost", 1);
         }
@@ -66,7 +66,7 @@
         let to = self.proxy();
         let Some(h) = self.hands.get(n).cloned() else { return };
         let (tenant, waitlist) = h.list.split_once('/').unwrap_or((&h.list, ""));
-        let ask = Ask::Hand {
+        let ask = ApiRequest::Submit {
             tenant: tenant.into(),
             waitlist: waitlist.into(),
             id: MessageId(h.id.clone()),
@@ -87,7 +87,7 @@
             let at = self.next_ask;
             if self.ask(&to, ask, Asked::Hand(n)) {
                 let soon = Span::millis(self.rng.u64(1..60));
-                self.soon(soon, Ev::AskTimeout(AskId(at)));
+                self.soon(soon, Ev::AskTimeout(RequestId(at)));
             } else {
                 self.soon(Span::millis(300), Ev::Hand(n));
             }
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn handed(&mut self, n: usize, v: Option<Verdict>) {
+    pub(super) fn handed(&mut self, n: usize, v: Option<ApiResponse>) {
         let Some(h) = self.hands.get_mut(n) else { return };
         let word = word_of(&v);
         let name = h.name();
@@ -136,13 +136,19 @@
         let to = self.proxy();
         let Some(h) = self.hands.get(l.hand).cloned() else { return };
         let (tenant, waitlist) = h.list.split_once('/').unwrap_or((&h.list, ""));
-        let ask = Ask::Look { tenant: tenant.into(), waitlist: waitlist.into(), id: MessageId(h.id), key: h.key, body: l.body };
+        let ask = ApiRequest::Lookup {
+            tenant: tenant.into(),
+            waitlist: waitlist.into(),
+            id: MessageId(h.id),
+            key: h.key,
+            body: l.body,
+        };
         if !self.ask(&to, ask, Asked::Look(l.clone())) && l.follow > 0 {
             self.soon(Span::millis(300), Ev::Look(l));
         }
     }
 
-    pub(super) fn looked(&mut self, l: Looking, v: Option<Verdict>) {
+    pub(super) fn looked(&mut self, l: Looking, v: Option<ApiResponse>) {
         let Some(h) = self.hands.get(l.hand) else { return };
         let name = h.name();
         let mut over = false;
--- a/crates/sim/tests/common/mod.rs
+++ b/crates/sim/tests/common/mod.rs
@@ -35,9 +35,9 @@
 
 /// Alters the charters that daemons hear of.
 pub fn charter_news(effect: &mut Effect, from: &str, to: &str) {
-    if let Effect::Say(_, Msg::News { items, .. }) = effect {
+    if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = effect {
         for (_, item) in items {
-            if let Item::Charter(json) = item {
+            if let Update::Charter(json) = item {
                 *json = json.replace(from, to);
             }
         }
--- a/crates/sim/tests/control.rs
+++ b/crates/sim/tests/control.rs
@@ -18,7 +18,7 @@
 
 /// One read in four is answered with the configuration that was read first.
 fn old_reads(effect: &mut Effect, rng: &mut fastrand::Rng) -> bool {
-    if let Effect::Tell(_, Verdict { code: 200, body: Some(body), .. }) = effect {
+    if let Effect::Respond(_, ApiResponse { code: 200, body: Some(body), .. }) = effect {
         let first = FIRST_READ.with_borrow_mut(|first| first.get_or_insert_with(|| body.clone()).clone());
         if rng.u8(..4) == 0 {
             *body = first;
@@ -38,9 +38,9 @@
 #[test]
 fn orders_confirmed_by_a_daemon_that_does_not_lead_are_caught() {
     let breakage: Breakage = |effect, _| {
-        if let Effect::Tell(_, verdict) = effect {
+        if let Effect::Respond(_, verdict) = effect {
             if verdict.code == 503 && verdict.json.contains("not the primary") {
-                *verdict = Verdict::json(200, "{}".into());
+                *verdict = ApiResponse::json(200, "{}".into());
             }
         }
         false
@@ -53,7 +53,7 @@
 #[test]
 fn two_orders_confirmed_on_one_base_are_caught() {
     let breakage: Breakage = |effect, _| {
-        if let Effect::Tell(_, verdict) = effect {
+        if let Effect::Respond(_, verdict) = effect {
             if verdict.code == 409 {
                 verdict.code = 200;
             }
@@ -68,7 +68,7 @@
 #[test]
 fn an_applied_order_refused_after_a_lost_answer_is_caught() {
     let breakage: Breakage = |effect, rng| {
-        if let Effect::Tell(_, verdict) = effect {
+        if let Effect::Respond(_, verdict) = effect {
             if verdict.code == 200 && verdict.body.is_none() && rng.u8(..4) == 0 {
                 verdict.code = 409;
             }
@@ -99,9 +99,9 @@
 fn a_second_run_beside_extra_answers_is_caught() {
     // Some successes reach their store as doubtful, and are run again.
     let breakage: Breakage = |effect, rng| {
-        if let Effect::Say(_, Msg::Settled { all }) = effect {
-            let won = all.iter_mut().filter(|settled| settled.told == Told::Success);
-            won.filter(|_| rng.u8(..30) == 0).for_each(|settled| settled.told = Told::Doubt);
+        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = effect {
+            let won = all.iter_mut().filter(|settled| settled.told == AttemptOutcome::Success);
+            won.filter(|_| rng.u8(..30) == 0).for_each(|settled| settled.told = AttemptOutcome::Unknown);
         }
         false
     };
@@ -142,7 +142,7 @@
 #[test]
 fn stores_that_stop_without_saying_so_are_caught() {
     let breakage: Breakage = |effect, _| {
-        if let Effect::Say(_, Msg::Need { report: Some(report), .. }) = effect {
+        if let Effect::Send(_, PeerMessage::Pull { report: Some(report), .. }) = effect {
             report.stopping = false;
         }
         false
--- a/crates/sim/tests/routed.rs
+++ b/crates/sim/tests/routed.rs
@@ -28,15 +28,15 @@
 
 fn runs(e: &mut Effect) -> Option<&mut Call> {
     match e {
-        Effect::Call(_, c) if matches!(c.errand, Errand::Run { .. }) => Some(c),
+        Effect::Call(_, c) if matches!(c.errand, CallKind::RunMessage { .. }) => Some(c),
         _ => None,
     }
 }
 
 fn listed(e: &mut Effect, change: fn(&mut Worker)) {
-    if let Effect::Say(_, Msg::News { items, .. }) = e {
+    if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = e {
         for (_, i) in items {
-            if let Item::Workers(all) = i {
+            if let Update::Workers(all) = i {
                 all.iter_mut().for_each(change);
             }
         }
@@ -53,9 +53,9 @@
 #[test]
 fn a_false_refusal_is_caught() {
     let b: Breakage = |e, rng| {
-        if let Effect::Tell(_, v) = e {
+        if let Effect::Respond(_, v) = e {
             if v.code == 202 && one_in(40, rng) {
-                *v = Verdict { after: Some(Span::millis(100)), ..Verdict::json(503, "{\"taken\":false}".into()) };
+                *v = ApiResponse { after: Some(Span::millis(100)), ..ApiResponse::json(503, "{\"taken\":false}".into()) };
             }
         }
         false
@@ -73,7 +73,7 @@
     };
     caught("run 8s", bytes, "sent", "altered");
     let path: Breakage = |e, rng| {
-        if let Effect::Call(_, Call { errand: Errand::Run { parcel, .. }, .. }) = e {
+        if let Effect::Call(_, Call { errand: CallKind::RunMessage { parcel, .. }, .. }) = e {
             if one_in(60, rng) {
                 parcel.path.push_str("/more");
             }
@@ -82,7 +82,7 @@
     };
     caught("run 8s", path, "sent", "altered");
     let id: Breakage = |e, rng| {
-        if let Effect::Call(_, Call { errand: Errand::Run { parcel, .. }, .. }) = e {
+        if let Effect::Call(_, Call { errand: CallKind::RunMessage { parcel, .. }, .. }) = e {
             if one_in(60, rng) {
                 parcel.id = "ghost".into();
             }
@@ -98,7 +98,7 @@
     // runs the message.
     let b: Breakage = |e, _| {
         charter_news(e, "\"health\":\"/health\"", "\"health\":\"\"");
-        if let Effect::Call(_, Call { errand: Errand::Run { worker, .. }, .. }) = e {
+        if let Effect::Call(_, Call { errand: CallKind::RunMessage { worker, .. }, .. }) = e {
             *worker = None;
         }
         false
@@ -123,8 +123,10 @@
 #[test]
 fn a_success_forgotten_is_caught() {
     let b: Breakage = |e, rng| {
-        if let Effect::Say(_, Msg::Settled { all }) = e {
-            all.iter_mut().filter(|s| s.told == Told::Success && one_in(30, rng)).for_each(|s| s.told = Told::Doubt);
+        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
+            all.iter_mut()
+                .filter(|s| s.told == AttemptOutcome::Success && one_in(30, rng))
+                .for_each(|s| s.told = AttemptOutcome::Unknown);
         }
         false
     };
@@ -134,15 +136,17 @@
 #[test]
 fn failures_that_are_not_counted_are_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::Settled { all }) = e {
-            all.iter_mut().filter(|s| s.told == Told::Failed).for_each(|s| s.told = Told::Unstarted);
+        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
+            all.iter_mut().filter(|s| s.told == AttemptOutcome::Failed).for_each(|s| s.told = AttemptOutcome::NotStarted);
         }
         false
     };
     caught("run 20s", b, "budget", "failures and");
     let never: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::Settled { all }) = e {
-            all.iter_mut().filter(|s| s.told == Told::Never).for_each(|s| s.told = Told::Unstarted);
+        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
+            all.iter_mut()
+                .filter(|s| s.told == AttemptOutcome::PermanentFailure)
+                .for_each(|s| s.told = AttemptOutcome::NotStarted);
         }
         false
     };
@@ -165,10 +169,10 @@
 #[test]
 fn one_copy_instead_of_two_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::Append { ops, .. }) = e {
+        if let Effect::Send(_, PeerMessage::Append { ops, .. }) = e {
             for op in ops.iter_mut() {
-                if let Op::Put(h, _, _) = op {
-                    *op = Op::Drop(h.id.clone());
+                if let PartitionOp::Put(h, _, _) = op {
+                    *op = PartitionOp::Remove(h.id.clone());
                 }
             }
         }
@@ -180,7 +184,7 @@
 #[test]
 fn a_message_left_lying_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::Offers { all, .. }) = e {
+        if let Effect::Send(_, PeerMessage::Offers { all, .. }) = e {
             all.retain(|o| o.head.route != "push-3");
         }
         false
@@ -194,7 +198,7 @@
         1,
         false,
         Some(|e, _| {
-            if let Effect::Say(_, Msg::Carry { head, .. }) = e {
+            if let Effect::Send(_, PeerMessage::Submit { head, .. }) = e {
                 if head.route == "push-3" {
                     head.delay = Span::secs(80);
                 }
@@ -208,26 +212,26 @@
 #[test]
 fn a_false_end_is_caught() {
     let done: Breakage = |e, _| {
-        if let Effect::Tell(_, v) = e {
-            if v.standing == Some(Standing::Waiting) {
-                v.standing = Some(Standing::Done("made.up".into()));
+        if let Effect::Respond(_, v) = e {
+            if v.standing == Some(RoutedMessageStatus::Waiting) {
+                v.standing = Some(RoutedMessageStatus::Done("made.up".into()));
             }
         }
         false
     };
     caught("run 8s; delayed 60", done, "told", "which no successful run gave");
     let dead: Breakage = |e, _| {
-        if let Effect::Tell(_, v) = e {
-            if v.standing == Some(Standing::Waiting) {
-                v.standing = Some(Standing::Dead);
+        if let Effect::Respond(_, v) = e {
+            if v.standing == Some(RoutedMessageStatus::Waiting) {
+                v.standing = Some(RoutedMessageStatus::Dead);
             }
         }
         false
     };
     caught("run 8s; delayed 60", dead, "told", "dead, and it had not ended");
     let seal: Breakage = |e, _| {
-        if let Effect::Call(_, Call { errand: Errand::Tell { standing, .. }, .. }) = e {
-            *standing = Standing::Done(String::new());
+        if let Effect::Call(_, Call { errand: CallKind::Callback { standing, .. }, .. }) = e {
+            *standing = RoutedMessageStatus::Done(String::new());
         }
         false
     };
@@ -236,10 +240,11 @@
 
 #[test]
 fn call_backs_left_out_or_late_are_caught() {
-    let none: Breakage = |e, rng| matches!(e, Effect::Call(_, Call { errand: Errand::Tell { .. }, .. }) if rng.u8(..) < 250);
+    let none: Breakage =
+        |e, rng| matches!(e, Effect::Call(_, Call { errand: CallKind::Callback { .. }, .. }) if rng.u8(..) < 250);
     caught("run 16s", none, "backs", "was never told");
     let astray: Breakage = |e, rng| {
-        if let Effect::Call(_, c @ Call { errand: Errand::Tell { .. }, .. }) = e {
+        if let Effect::Call(_, c @ Call { errand: CallKind::Callback { .. }, .. }) = e {
             if rng.u8(..) < 225 {
                 c.addr = "10.9.2.99:80".into();
             }
@@ -281,8 +286,8 @@
 #[test]
 fn work_for_the_emptied_zone_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::News { items, .. }) = e {
-            items.retain(|i| i.1.source() != Source::Orders);
+        if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = e {
+            items.retain(|i| i.1.source() != Topic::Orders);
         }
         false
     };
@@ -292,7 +297,7 @@
 #[test]
 fn a_message_run_before_its_delay_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Say(_, Msg::Carry { head, .. }) = e {
+        if let Effect::Send(_, PeerMessage::Submit { head, .. }) = e {
             head.delay = Span::ZERO;
         }
         false
@@ -303,18 +308,18 @@
 #[test]
 fn a_charter_kept_from_a_daemon_is_caught() {
     let proxy: Breakage = |e, _| {
-        if let Effect::Say(to, Msg::News { items, .. }) = e {
+        if let Effect::Send(to, PeerMessage::PullResponse { items, .. }) = e {
             if to.as_str() == "proxy-1" {
-                items.retain(|i| i.1.source() != Source::Charter);
+                items.retain(|i| i.1.source() != Topic::Charter);
             }
         }
         false
     };
     caught("run 14s; at 2s changes 700ms", proxy, "charters", "as only an older charter has it");
     let delivery: Breakage = |e, _| {
-        if let Effect::Say(to, Msg::News { items, .. }) = e {
+        if let Effect::Send(to, PeerMessage::PullResponse { items, .. }) = e {
             if to.as_str() == "delivery-1" {
-                items.retain(|i| i.1.source() != Source::Charter);
+                items.retain(|i| i.1.source() != Topic::Charter);
             }
         }
         false
@@ -325,7 +330,7 @@
 #[test]
 fn a_wrong_word_on_a_charter_is_caught() {
     let losing: Breakage = |e, _| {
-        if let Effect::Tell(_, v) = e {
+        if let Effect::Respond(_, v) = e {
             if v.code == 409 {
                 v.code = 200;
             }
@@ -334,7 +339,7 @@
     };
     caught("run 8s; at 2s twins", losing, "charters", "were both acknowledged");
     let invalid: Breakage = |e, _| {
-        if let Effect::Tell(_, v) = e {
+        if let Effect::Respond(_, v) = e {
             if v.code == 400 {
                 v.code = 200;
             }
@@ -344,9 +349,9 @@
     caught("run 8s; at 2s badcharter", invalid, "charters", "is invalid and was acknowledged");
     // Acknowledged and never written.
     let lost: Breakage = |e, _| {
-        if let Effect::Tell(_, v) = e {
+        if let Effect::Respond(_, v) = e {
             if v.code == 503 && v.json.contains("not the primary") {
-                *v = Verdict::json(200, "{}".into());
+                *v = ApiResponse::json(200, "{}".into());
             }
         }
         false
@@ -358,8 +363,8 @@
 fn a_connection_broken_off_at_a_planned_end_is_caught() {
     // A proxy that was told to leave ends with the next request it reads.
     let b: Breakage = |e, _| {
-        if matches!(e, Effect::Say(_, Msg::Carry { .. })) {
-            *e = Effect::Gone;
+        if matches!(e, Effect::Send(_, PeerMessage::Submit { .. })) {
+            *e = Effect::Exit;
         }
         false
     };
--- a/crates/versions/tests/leader.rs
+++ b/crates/versions/tests/leader.rs
@@ -14,8 +14,8 @@
         zone: Zone("z1".into()),
         addr: "store-1:1".into(),
         http: "store-1:80".into(),
-        life: Mark(1),
-        disk: Mark(2),
+        life: IncarnationId(1),
+        disk: IncarnationId(2),
     };
     Link::new(me, seeds.iter().map(|seed| daemon(seed)).collect(), PACE, Terms::default())
 }
@@ -25,7 +25,7 @@
     for step in 0..200 {
         let now = from + Span::millis(10 * step);
         let asked = link.tick(now, || None).into_iter().find_map(|effect| match effect {
-            Effect::Say(to, Msg::Need { .. }) => Some(to),
+            Effect::Send(to, PeerMessage::Pull { .. }) => Some(to),
             _ => None,
         });
         if let Some(to) = asked {
--- a/crates/versions/tests/lives.rs
+++ b/crates/versions/tests/lives.rs
@@ -10,8 +10,8 @@
         zone: Zone("z1".into()),
         addr: "store-1:1".into(),
         http: "store-1:80".into(),
-        life: Mark(1),
-        disk: Mark(2),
+        life: IncarnationId(1),
+        disk: IncarnationId(2),
     }
 }
 
@@ -19,7 +19,7 @@
 fn started(now: Time) -> (Link, Time) {
     let mut link = Link::new(member(), vec![Daemon("placement-1".into())], PACE, Terms::default());
     let out = link.tick(now, || None);
-    assert!(matches!(out.last(), Some(Effect::Say(_, Msg::Need { asked, .. })) if *asked == now), "{out:?}");
+    assert!(matches!(out.last(), Some(Effect::Send(_, PeerMessage::Pull { asked, .. })) if *asked == now), "{out:?}");
     (link, now)
 }
 
--- a/crates/waitlist/src/attempts.rs
+++ b/crates/waitlist/src/attempts.rs
@@ -55,7 +55,7 @@
     /// Judges a success, told at `now`, of an attempt that is not under way by
     /// the keeper's own account. `epoch` and `rest` are the keeping's; `unread`
     /// is how long the word may have waited to be read here.
-    pub fn judge(&mut self, told: &Settled, epoch: Epoch, rest: Time, unread: Span, now: Time) -> Option<LateSuccess> {
+    pub fn judge(&mut self, told: &AttemptResult, epoch: Epoch, rest: Time, unread: Span, now: Time) -> Option<LateSuccess> {
         let ended = Time(now.0.saturating_sub(told.ended_ago.0 + unread.0));
         if told.epoch != epoch {
             let first = self.judged.insert((told.epoch, told.attempt));
--- a/crates/waitlist/src/partial_copy.rs
+++ b/crates/waitlist/src/partial_copy.rs
@@ -7,7 +7,7 @@
 const RECORD: usize = 200;
 
 /// How many bytes a record without its body takes, about.
-pub fn record_size(head: &Head) -> usize {
+pub fn record_size(head: &MessageHeader) -> usize {
     let parcel = head.parcel.as_ref().map_or(0, |p| p.path.len() + p.host.len() + p.id.len() + p.back.len());
     RECORD + head.key.len() + head.seal.len() + parcel
 }
@@ -33,9 +33,9 @@
 }
 
 /// How many bytes an operation of a copy takes, about.
-fn operation_size(op: &Op) -> usize {
+fn operation_size(op: &PartitionOp) -> usize {
     match op {
-        Op::Put(head, _, body) => record_size(head) + body.len(),
+        PartitionOp::Put(head, _, body) => record_size(head) + body.len(),
         _ => RECORD,
     }
 }
@@ -105,7 +105,7 @@
 
     /// Takes the next part. `held` says whether the replica itself holds a
     /// message's bytes.
-    pub fn take(&mut self, place: &Place, part: CopyPart, held: impl Fn(&Head) -> bool, now: Time) -> Taken {
+    pub fn take(&mut self, place: &PartitionId, part: CopyPart, held: impl Fn(&MessageHeader) -> bool, now: Time) -> Taken {
         if part.from.is_none() {
             *self = PartialCopy::after(std::mem::take(self));
         } else if part.from != self.position {
@@ -133,13 +133,13 @@
         }
     }
 
-    fn apply(&mut self, place: &Place, op: &Op, now: Time) {
+    fn apply(&mut self, place: &PartitionId, op: &PartitionOp, now: Time) {
         self.records.apply(place, op, 0, now, &mut self.accounts);
         self.missing.remove(op.id());
         self.seek(op.id());
     }
 
-    fn put(&mut self, head: &Head, stage: Stage, held: &impl Fn(&Head) -> bool, now: Time) {
+    fn put(&mut self, head: &MessageHeader, stage: Stage, held: &impl Fn(&MessageHeader) -> bool, now: Time) {
         self.records.put(head, stage, &Bytes::new(), 0, now, &mut self.accounts);
         let Some(record) = self.records.recs.get_mut(&head.id) else { return };
         if record.head.len == 0 {
@@ -177,7 +177,7 @@
 
     /// Whether every record has its bytes, here or held by the replica itself;
     /// those that have not are missing from now on.
-    pub fn has_all_bodies(&mut self, held: impl Fn(&Head) -> bool) -> bool {
+    pub fn has_all_bodies(&mut self, held: impl Fn(&MessageHeader) -> bool) -> bool {
         if self.missing.is_empty() {
             let lacks = |record: &&Rec| record.bytes().is_none() && !held(&record.head);
             self.missing = self.records.recs.values().filter(lacks).map(|record| record.head.id.clone()).collect();
--- a/crates/waitlist/src/peer.rs
+++ b/crates/waitlist/src/peer.rs
@@ -46,7 +46,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct PeerProgress {
-    pub mark: Mark,
+    pub mark: IncarnationId,
     /// Ops of this epoch it has synced; `None` until it is whole under it.
     pub have: Option<u64>,
     pub sent: u64,
--- a/crates/waitlist/src/store/append.rs
+++ b/crates/waitlist/src/store/append.rs
@@ -3,14 +3,14 @@
 
 impl Store {
     /// Sends each mate what it lacks of the latest ops.
-    pub(super) fn spread(&mut self, place: &Place, now: Time) {
+    pub(super) fn spread(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
         for mate in own.mates.keys().cloned().collect::<Vec<_>>() {
             self.spread_to(place, &mate, now);
         }
     }
 
-    fn spread_to(&mut self, place: &Place, mate: &Daemon, now: Time) {
+    fn spread_to(&mut self, place: &PartitionId, mate: &Daemon, now: Time) {
         let Some(p) = self.parts.get_mut(place) else { return };
         let Some(own) = p.own.as_mut() else { return };
         let top = p.n;
@@ -33,10 +33,18 @@
                 self.dirty.insert(place.clone());
             }
         }
-        self.say(mate, Msg::Append { place: place.clone(), epoch, first: sent + 1, ops });
+        self.say(mate, PeerMessage::Append { place: place.clone(), epoch, first: sent + 1, ops });
     }
 
-    pub(super) fn on_append(&mut self, from: Daemon, place: Place, epoch: Epoch, first: u64, ops: Vec<Op>, now: Time) {
+    pub(super) fn on_append(
+        &mut self,
+        from: Daemon,
+        place: PartitionId,
+        epoch: Epoch,
+        first: u64,
+        ops: Vec<PartitionOp>,
+        now: Time,
+    ) {
         // Unacknowledged, the second copy goes to another peer.
         if self.refuses_writes() {
             return;
@@ -45,11 +53,11 @@
         if epoch < p.promised {
             let promised = p.promised;
             self.counts.fenced += 1;
-            return self.say(&from, Msg::Refused { place, promised });
+            return self.say(&from, PeerMessage::FenceRefused { place, promised });
         }
         if p.installed != epoch || first > p.n + 1 {
             let (installed, n) = (p.installed, p.n);
-            return self.say(&from, Msg::Gap { place, epoch, installed, n });
+            return self.say(&from, PeerMessage::AppendGap { place, epoch, installed, n });
         }
         let home = self.ledger.next();
         for (at, op) in ops.into_iter().enumerate() {
@@ -57,7 +65,7 @@
             if n <= p.n {
                 continue;
             }
-            if let Op::Put(head, _, body) = &op {
+            if let PartitionOp::Put(head, _, body) = &op {
                 if !head.sound(body) {
                     break;
                 }
@@ -71,7 +79,15 @@
         self.later(Then::Ack { to: from, place, epoch, upto });
     }
 
-    pub(super) fn on_appended(&mut self, from: Daemon, place: Place, epoch: Epoch, upto: u64, mark: Mark, now: Time) {
+    pub(super) fn on_appended(
+        &mut self,
+        from: Daemon,
+        place: PartitionId,
+        epoch: Epoch,
+        upto: u64,
+        mark: IncarnationId,
+        now: Time,
+    ) {
         let Some(p) = self.parts.get_mut(&place) else { return };
         let top = p.n;
         let Some(own) = p.own.as_mut() else { return };
@@ -110,13 +126,13 @@
         self.commit(&place, now);
     }
 
-    pub(super) fn on_gap(&mut self, from: Daemon, place: Place, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
+    pub(super) fn on_gap(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
         let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) else { return };
         if own.epoch != epoch {
             return;
         }
         let was = own.was;
-        let mark = own.set.iter().find(|s| s.0 == from).map_or(Mark(0), |s| s.1);
+        let mark = own.set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
         let Some(peer) = own.peers.get_mut(&from) else { return };
         peer.heard = now;
         if installed == epoch {
@@ -127,10 +143,10 @@
         }
         peer.have = None;
         peer.asked = now;
-        self.say(&from, Msg::Lag { place, epoch, was, mark, short: false });
+        self.say(&from, PeerMessage::Lagging { place, epoch, was, mark, short: false });
     }
 
-    pub(super) fn own_durable(&mut self, place: &Place, epoch: Epoch, upto: u64, now: Time) {
+    pub(super) fn own_durable(&mut self, place: &PartitionId, epoch: Epoch, upto: u64, now: Time) {
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
         if own.epoch != epoch {
             return;
@@ -142,7 +158,7 @@
 
     /// What is synced here and on enough counting peers, one of them in
     /// another zone, stands.
-    pub(super) fn commit(&mut self, place: &Place, now: Time) {
+    pub(super) fn commit(&mut self, place: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
--- a/crates/waitlist/src/store/attempt_ends.rs
+++ b/crates/waitlist/src/store/attempt_ends.rs
@@ -5,7 +5,7 @@
 impl Store {
     /// Attempts whose end passed without a word: their messages go on. After a
     /// standstill the words that lie unread are heard first.
-    pub(super) fn lapse_overdue(&mut self, place: &Place, now: Time) {
+    pub(super) fn lapse_overdue(&mut self, place: &PartitionId, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
         }
@@ -18,7 +18,7 @@
         }
         for (id, flight) in over {
             self.counts.lapsed += 1;
-            self.note(Note::Lapse, format!("{place} {id} attempt {} at {}", flight.attempt, flight.to));
+            self.note(LogEvent::AttemptEndUnreported, format!("{place} {id} attempt {} at {}", flight.attempt, flight.to));
             self.lapsed(place, &id, now);
         }
     }
@@ -26,34 +26,34 @@
     /// Whether a record that was taken out of a line may be handed out: for
     /// work while its work is not over, for a call-back while one is owed. Any
     /// other must stand in no line.
-    pub(super) fn may_hand_out(&mut self, place: &Place, id: &MessageId, call_back: bool) -> bool {
+    pub(super) fn may_hand_out(&mut self, place: &PartitionId, id: &MessageId, call_back: bool) -> bool {
         let stage = self.parts.get(place).and_then(|p| p.recs.get(id)).map(|r| r.stage);
         let fits = match stage {
-            Some(Stage::Work) => !call_back,
-            Some(Stage::Calling | Stage::Owing(_)) => call_back,
+            Some(Stage::Pending) => !call_back,
+            Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => call_back,
             Some(Stage::Ended(_)) | None => false,
         };
         if fits {
             return true;
         }
         self.counts.ended_handed_out += 1;
-        self.note(Note::EndedHandedOut, format!("{place} {id}"));
+        self.note(LogEvent::EndedMessageDequeued, format!("{place} {id}"));
         false
     }
 
     /// An open message that nothing would ever run again: it waits from now on,
     /// or until the rest at the opening is over.
-    pub(super) fn let_in_again(&mut self, place: &Place, id: &MessageId, now: Time) {
+    pub(super) fn let_in_again(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
         let Some(p) = self.parts.get_mut(place) else { return };
         let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get(id)) else { return };
         own.lane.ids.insert(r.head.seq, id.clone());
         own.lane.post(&r.head.route, &r.head.key, own.quiet.max(now), r.head.seq);
         self.counts.stranded += 1;
-        self.note(Note::Stranded, format!("{place} {id}"));
+        self.note(LogEvent::StrandedMessageRequeued, format!("{place} {id}"));
     }
 
     /// Judges a success of an attempt that is not under way here.
-    pub(super) fn judge_success(&mut self, from: &Daemon, told: &Settled, now: Time) {
+    pub(super) fn judge_success(&mut self, from: &Daemon, told: &AttemptResult, now: Time) {
         let Some(p) = self.parts.get_mut(&told.place) else { return };
         let Some(own) = p.own.as_mut() else { return };
         let unread = self.standstill.unread(now);
@@ -66,11 +66,11 @@
         let note = match late.is_violation() {
             true => {
                 self.counts.outlived += 1;
-                Note::AttemptOutlived
+                LogEvent::AttemptOverran
             }
             false => {
                 self.counts.told_late += 1;
-                Note::LateSuccess
+                LogEvent::LateSuccess
             }
         };
         self.note(note, text);
--- a/crates/waitlist/src/store/copy_source.rs
+++ b/crates/waitlist/src/store/copy_source.rs
@@ -21,22 +21,22 @@
 impl Store {
     /// Only a replica fenced at this very epoch, or its keeper once that is
     /// whole, hands out.
-    fn hands_out(&self, place: &Place, epoch: Epoch) -> bool {
+    fn hands_out(&self, place: &PartitionId, epoch: Epoch) -> bool {
         let Some(part) = self.parts.get(place) else { return false };
         part.promised == epoch && part.own.as_ref().is_none_or(Keep::is_whole)
     }
 
     /// A store that knows no parts is sent the list of all records.
-    pub(super) fn on_fetch(&mut self, from: Daemon, place: Place, epoch: Epoch) {
+    pub(super) fn on_fetch(&mut self, from: Daemon, place: PartitionId, epoch: Epoch) {
         if !self.hands_out(&place, epoch) {
             return;
         }
         let digest = self.parts[&place].digest();
-        self.say(&from, Msg::Fetched { place, epoch, digest });
+        self.say(&from, PeerMessage::WholeCopy { place, epoch, digest });
     }
 
     /// Bytes by name: of a copy that goes by the list, or for a copy that is bad.
-    pub(super) fn on_want(&mut self, from: Daemon, place: Place, epoch: Epoch, ids: Vec<MessageId>, now: Time) {
+    pub(super) fn on_want(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, ids: Vec<MessageId>, now: Time) {
         if !self.hands_out(&place, epoch) {
             return;
         }
@@ -51,11 +51,11 @@
             return;
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
-        self.say(&from, Msg::Bodies { place, epoch, all: bodies.here });
+        self.say(&from, PeerMessage::Bodies { place, epoch, all: bodies.here });
     }
 
     /// The next part of a copy, once the bytes that go with it are at hand.
-    pub(super) fn on_copy_request(&mut self, from: Daemon, place: Place, epoch: Epoch, request: CopyRequest, now: Time) {
+    pub(super) fn on_copy_request(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, request: CopyRequest, now: Time) {
         if !self.hands_out(&place, epoch) {
             return;
         }
@@ -78,12 +78,12 @@
         if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
             own.note_copying(from.clone(), part.n, now);
         }
-        self.say(&from, Msg::CopyPart { place, epoch, part });
+        self.say(&from, PeerMessage::CopyPart { place, epoch, part });
     }
 
     /// What there is of the bytes asked for, up to a bound. Of a record that is
     /// gone or has let go of its bytes there is nothing to send.
-    fn bodies_of(&mut self, place: &Place, ids: &[MessageId], now: Time) -> Bodies {
+    fn bodies_of(&mut self, place: &PartitionId, ids: &[MessageId], now: Time) -> Bodies {
         let mut bodies = Bodies::default();
         let mut size = 0;
         for id in ids {
@@ -106,7 +106,7 @@
 
     /// Begins to read bytes back; `who` is served once the last of them is
     /// here. False when there is nothing to wait for.
-    fn read_back(&mut self, place: &Place, ids: &[MessageId], who: Parked) -> bool {
+    fn read_back(&mut self, place: &PartitionId, ids: &[MessageId], who: Parked) -> bool {
         let Some((last, rest)) = ids.split_last() else { return false };
         let begun = rest.iter().all(|id| self.park(place, id, Parked::Soon));
         begun && self.park(place, last, who)
@@ -129,13 +129,13 @@
             true => self.records_after(from.as_ref().map(|at| &at.after)),
             false => (Vec::new(), false),
         };
-        let known = |op: &Op| from.as_ref().is_some_and(|at| *op.id() <= at.after);
+        let known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.after);
         let ops = ops.into_iter().filter(known).collect();
         CopyPart { from, ops, bodies, records, n, next: self.next, complete }
     }
 
     /// Operations since the one numbered `n`, as many as are sent at once.
-    fn ops_since(&self, n: u64) -> Option<Vec<Op>> {
+    fn ops_since(&self, n: u64) -> Option<Vec<PartitionOp>> {
         match &self.own {
             _ if n == self.n => Some(Vec::new()),
             Some(own) if n < self.n => own.ops_from(n + 1, self.n),
@@ -144,7 +144,7 @@
     }
 
     /// The next records by name, and whether none follow.
-    fn records_after(&self, after: Option<&MessageId>) -> (Vec<(Head, Stage)>, bool) {
+    fn records_after(&self, after: Option<&MessageId>) -> (Vec<(MessageHeader, Stage)>, bool) {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self.recs.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
         let mut records = Vec::new();
--- a/crates/waitlist/src/store/departure.rs
+++ b/crates/waitlist/src/store/departure.rs
@@ -56,7 +56,7 @@
             Seats::Settled => true,
         };
         if (idle && answered && kept && free) || waited > GONE_WITHIN {
-            self.out.push(Effect::Gone);
+            self.out.push(Effect::Exit);
         }
     }
 
--- a/crates/waitlist/src/store/disk_stuck.rs
+++ b/crates/waitlist/src/store/disk_stuck.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether a write set can open a new epoch without this store.
-    pub(super) fn spares_this_store(&self, set: &[(Daemon, Mark)]) -> bool {
+    pub(super) fn spares_this_store(&self, set: &[(Daemon, IncarnationId)]) -> bool {
         let others = set.iter().filter(|(d, _)| *d != self.startup.me.id && self.link.members.contains_key(d)).count();
         others > set.len() / 2
     }
@@ -34,7 +34,7 @@
         if !self.gives_up_partitions(now) {
             return;
         }
-        let spared: Vec<Place> = self
+        let spared: Vec<PartitionId> = self
             .parts
             .iter()
             .filter(|(_, part)| part.own.as_ref().is_some_and(|own| self.spares_this_store(&own.set)))
--- a/crates/waitlist/src/store/mates.rs
+++ b/crates/waitlist/src/store/mates.rs
@@ -21,7 +21,7 @@
     /// Chooses the peers that get every op, as many as must have it beside
     /// this store and one at least in another zone. A `lost` mate gives way to
     /// the next peer, if there is another.
-    pub(super) fn match_mates(&mut self, place: &Place, lost: Option<&Daemon>, now: Time) {
+    pub(super) fn match_mates(&mut self, place: &PartitionId, lost: Option<&Daemon>, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let zone = self.startup.me.zone.clone();
         let far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
@@ -51,13 +51,13 @@
         own.asked = Time(0);
         if lost.is_some() {
             let names: Vec<String> = joined.iter().map(|d| d.to_string()).collect();
-            self.note(Note::MateMatched, format!("{place} now {}", names.join(", ")));
+            self.note(LogEvent::MateMatched, format!("{place} now {}", names.join(", ")));
         }
         self.tend(place, now);
     }
 
     /// The peers that may be mates of a partition, the fittest first.
-    fn mate_candidates(&self, place: &Place, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
+    fn mate_candidates(&self, place: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
         let leaves = |d: &Daemon| own.swap.as_ref().is_some_and(|s| s.0 == *d);
@@ -88,7 +88,7 @@
     /// takes its part at once.
     pub(super) fn on_cut(&mut self, d: &Daemon, now: Time) {
         let waits = |p: &Part| p.own.as_ref().is_some_and(|o| o.mates.contains_key(d) && !o.waits.is_empty());
-        let all: Vec<Place> = self.parts.iter().filter(|(_, p)| waits(p)).map(|(k, _)| k.clone()).collect();
+        let all: Vec<PartitionId> = self.parts.iter().filter(|(_, p)| waits(p)).map(|(k, _)| k.clone()).collect();
         for place in all {
             self.match_mates(&place, Some(d), now);
         }
@@ -105,7 +105,7 @@
             let is_silent = |mate: &Daemon, since: &Time| own.peers.get(mate).is_some_and(|s| s.is_silent(*since, patience, now));
             !own.waits.is_empty() && own.mates.iter().any(|(mate, since)| is_silent(mate, since))
         };
-        let due: Vec<Place> =
+        let due: Vec<PartitionId> =
             self.parts.iter().filter(|(_, p)| p.own.as_ref().is_some_and(silent)).map(|(place, _)| place.clone()).collect();
         for place in due {
             if self.link.may(&Duty::Keep(place.clone()), now).is_some() {
@@ -115,7 +115,7 @@
     }
 
     /// Sees to the mates, and to seats whose copy does not count yet.
-    pub(super) fn tend(&mut self, place: &Place, now: Time) {
+    pub(super) fn tend(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
         if own.mates.is_empty() {
             self.match_mates(place, None, now);
@@ -142,7 +142,7 @@
     /// stores of the set have answered, the partition's own first candidate
     /// takes the place, if it stands where the partition stood when it was
     /// sealed: then nothing has to be copied.
-    fn spread_mates(&mut self, place: &Place, now: Time) {
+    fn spread_mates(&mut self, place: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
         if own.phase != Phase::Serving || own.mates_needed() != 1 || own.spread == Spread::Done {
@@ -184,7 +184,7 @@
     /// Draws a peer of this zone in where all mates stand elsewhere, as may
     /// be after an opening or a failure: each operation crosses zones once
     /// less. Until it has caught up it is one mate more than is needed.
-    fn draw_near(&mut self, place: &Place, now: Time) {
+    fn draw_near(&mut self, place: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let here = self.startup.me.zone.clone();
         let near = |d: &Daemon| zones.get(d).is_some_and(|z| *z == here);
@@ -209,7 +209,7 @@
     /// The mates that need a whole copy, and one that has to give way: it lags
     /// and has not moved for a while, it leaves, or it came back without its
     /// disk, so that nothing it holds counts until its new folder is seated.
-    fn tend_mates(&mut self, place: &Place, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
+    fn tend_mates(&mut self, place: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
         let longest = self.startup.terms.length.percent(QUIET);
         let still = self.standstill.is_catching_up(now);
         let (members, here) = (&self.link.members, &self.startup.me.zone);
@@ -246,13 +246,13 @@
     /// Stores of the set whose folder is another than the one that counts, and
     /// the one that takes a seat. A keeper that waits for a copy in another zone
     /// sees to them too: one of them may be the only store there.
-    fn seats_to_fill(&mut self, place: &Place, now: Time) -> Vec<Daemon> {
+    fn seats_to_fill(&mut self, place: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return to_copy };
         if !own.is_whole() {
             return to_copy;
         }
-        let joining = own.swap.iter().map(|s| (s.1.clone(), Mark(0)));
+        let joining = own.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
         for (store, mark) in own.set.clone().into_iter().chain(joining) {
             let disk = self.link.members.get(&store).map(|m| m.disk);
             if store == self.startup.me.id || disk.is_none_or(|m| m == mark) {
@@ -271,12 +271,12 @@
     /// Stores of the set whose present folder is not the one that counts. One
     /// that is away may come back with its folder: it is not among them.
     pub(super) fn seats_without_copy(&self, own: &Keep) -> Vec<Daemon> {
-        let lost = |seat: &&(Daemon, Mark)| self.link.members.get(&seat.0).is_none_or(|member| member.disk != seat.1);
+        let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk != seat.1);
         own.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
     }
 
     /// Notes since when copies are lacking, and tells of it when it lasts.
-    fn watch_copies(&mut self, place: &Place, now: Time) {
+    fn watch_copies(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
         let (short, lacking) = (own.short, self.seats_without_copy(own));
         let names: Vec<String> = lacking.iter().map(Daemon::to_string).collect();
@@ -287,10 +287,10 @@
         };
         let (was_told, is_told) = (short.is_some_and(|s| s.told), next.is_some_and(|s| s.told));
         if is_told && !was_told {
-            self.note(Note::FewCopies, format!("{place} lacks {}", names.join(", ")));
+            self.note(LogEvent::TooFewCopies, format!("{place} lacks {}", names.join(", ")));
         }
         if was_told && next.is_none() {
-            self.note(Note::AllCopies, place.to_string());
+            self.note(LogEvent::CopiesRestored, place.to_string());
         }
         if let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) {
             own.short = next;
@@ -298,7 +298,7 @@
     }
 
     /// Stores of the set that were never fenced may have come back since.
-    fn seal_unfenced(&mut self, place: &Place, now: Time) {
+    fn seal_unfenced(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
         let me = &self.startup.me.id;
         let unseen: Vec<Daemon> =
@@ -309,17 +309,17 @@
         own.asked = now;
         let epoch = own.epoch;
         for store in unseen {
-            self.say(&store, Msg::Seal { place: place.clone(), epoch });
+            self.say(&store, PeerMessage::Fence { place: place.clone(), epoch });
         }
     }
 
     /// Tells a peer that it lacks this epoch, so that it asks for a copy.
-    fn offer_copy(&mut self, place: &Place, peer: Daemon) {
+    fn offer_copy(&mut self, place: &PartitionId, peer: Daemon) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        let mark = own.set.iter().find(|seat| seat.0 == peer).map_or(Mark(0), |seat| seat.1);
+        let mark = own.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
         let short = own.peers.get(&peer).is_some_and(|s| s.short);
-        let lag = Msg::Lag { place: place.clone(), epoch: own.epoch, was: own.was, mark, short };
-        self.note(Note::Repairing, format!("{place} at {peer}"));
+        let lag = PeerMessage::Lagging { place: place.clone(), epoch: own.epoch, was: own.was, mark, short };
+        self.note(LogEvent::CopyRepairing, format!("{place} at {peer}"));
         self.say(&peer, lag);
     }
 }
--- a/crates/waitlist/src/store/posts.rs
+++ b/crates/waitlist/src/store/posts.rs
@@ -7,9 +7,9 @@
 /// What a delivery last said it takes here.
 /// Invariant: of one delivery only the newest word counts.
 pub struct Taking {
-    life: Mark,
+    life: IncarnationId,
     /// Lives that it had before: a late word of one says nothing.
-    earlier_lives: Vec<Mark>,
+    earlier_lives: Vec<IncarnationId>,
     asked: Time,
     at: Time,
     services: BTreeMap<String, u32>,
@@ -38,7 +38,7 @@
 
 /// When a message was handed in, by this store's clock: what was read from
 /// disk or copied from a peer tells it by the time of day.
-pub(super) fn sent(head: &Head, made: Time, wall: u64, now: Time) -> Time {
+pub(super) fn sent(head: &MessageHeader, made: Time, wall: u64, now: Time) -> Time {
     if head.born == 0 || wall == 0 {
         return now;
     }
@@ -50,7 +50,7 @@
 struct Line {
     priority: u32,
     first: Time,
-    place: Place,
+    place: PartitionId,
     /// Its route, or the address to be called back at.
     name: String,
 }
@@ -60,9 +60,9 @@
         &mut self,
         from: &Daemon,
         asked: Time,
-        reach: Reach,
-        places: &[(Place, Epoch)],
-        holding: &[Holding],
+        reach: RoutedCapacity,
+        places: &[(PartitionId, Epoch)],
+        holding: &[InFlightAttempt],
         now: Time,
     ) {
         let old = self.taking.get(from);
@@ -85,7 +85,7 @@
 
     /// A delivery lives anew: what its earlier life had in hand is over, and
     /// may have run.
-    fn life_over(&mut self, from: &Daemon, life: Mark, now: Time) {
+    fn life_over(&mut self, from: &Daemon, life: IncarnationId, now: Time) {
         let mut over = Vec::new();
         for (place, p) in &self.parts {
             let Some(own) = p.own.as_ref() else { continue };
@@ -96,15 +96,15 @@
             if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
                 own.lane.flights.remove(&seq);
             }
-            self.post_back(&place, &id, Told::Doubt, now);
+            self.post_back(&place, &id, AttemptOutcome::Unknown, now);
         }
     }
 
     /// A delivery that knows a new keeper's epoch takes nothing of an earlier
     /// one any more. Once every delivery has said so, only what one of them
     /// names is still under way, and the rest need not wait.
-    fn vouch(&mut self, from: &Daemon, places: &[(Place, Epoch)], holding: &[Holding], now: Time) {
-        let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == Kind::Delivery).collect();
+    fn vouch(&mut self, from: &Daemon, places: &[(PartitionId, Epoch)], holding: &[InFlightAttempt], now: Time) {
+        let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         for (place, epoch) in places {
             let Some(p) = self.parts.get_mut(place) else { continue };
             let Some(own) = p.own.as_mut() else { continue };
@@ -145,8 +145,8 @@
             self.routed = self.link.rules.version;
             self.end_dropped(now);
         }
-        let mut out: BTreeMap<(Goal, Daemon), u32> = BTreeMap::new();
-        let mut goals: BTreeMap<Goal, Vec<Line>> = BTreeMap::new();
+        let mut out: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
+        let mut goals: BTreeMap<Destination, Vec<Line>> = BTreeMap::new();
         for (place, p) in &self.parts {
             let Some(own) = p.own.as_ref() else { continue };
             for f in own.lane.flights.values() {
@@ -161,12 +161,12 @@
                 let Some(first) = due.oldest(now) else { continue };
                 let Some(route) = self.link.rules.routes.get(name) else { continue };
                 let line = Line { priority: route.priority, first, place: place.clone(), name: name.clone() };
-                goals.entry(Goal::Service(route.service.clone())).or_default().push(line);
+                goals.entry(Destination::Service(route.service.clone())).or_default().push(line);
             }
             for (desk, set) in &own.lane.calls {
                 let Some((first, _)) = set.first().filter(|f| f.0 <= now) else { continue };
                 let line = Line { priority: 0, first: *first, place: place.clone(), name: desk.clone() };
-                goals.entry(Goal::Address(desk.clone())).or_default().push(line);
+                goals.entry(Destination::Address(desk.clone())).or_default().push(line);
             }
         }
         let mut offers: BTreeMap<Daemon, (Time, Vec<Offer>)> = BTreeMap::new();
@@ -184,17 +184,22 @@
             }
         }
         for (to, (asked, all)) in offers {
-            self.say(&to, Msg::Offers { asked, all });
+            self.say(&to, PeerMessage::Offers { asked, all });
         }
     }
 
-    fn taker(&self, goal: &Goal, out: &BTreeMap<(Goal, Daemon), u32>, now: Time) -> Option<(Daemon, Time, Mark)> {
+    fn taker(
+        &self,
+        goal: &Destination,
+        out: &BTreeMap<(Destination, Daemon), u32>,
+        now: Time,
+    ) -> Option<(Daemon, Time, IncarnationId)> {
         let zone = &self.startup.me.zone;
         let spare = |d: &Daemon, t: &Taking| {
             let most = match goal {
-                Goal::Service(s) => t.services.get(s).copied().unwrap_or(0),
-                Goal::Address(a) if t.addresses.contains(&Duty::of_address(a)) => CALLS_AT_ONCE,
-                Goal::Address(_) => 0,
+                Destination::Service(s) => t.services.get(s).copied().unwrap_or(0),
+                Destination::Address(a) if t.addresses.contains(&Duty::of_address(a)) => CALLS_AT_ONCE,
+                Destination::Address(_) => 0,
             };
             most.saturating_sub(out.get(&(goal.clone(), d.clone())).copied().unwrap_or(0))
         };
@@ -206,10 +211,10 @@
         Some((best.1.clone(), best.2.asked, best.2.life))
     }
 
-    fn take_post(&mut self, line: &Line, goal: &Goal, to: &Daemon, life: Mark, now: Time) -> Option<Offer> {
-        let call = matches!(goal, Goal::Address(_));
+    fn take_post(&mut self, line: &Line, goal: &Destination, to: &Daemon, life: IncarnationId, now: Time) -> Option<Offer> {
+        let call = matches!(goal, Destination::Address(_));
         let attempt = match call {
-            true => CALL_BACK_LIMIT,
+            true => CALLBACK_TIMEOUT,
             false => self.link.rules.routes.get(&line.name)?.attempt,
         };
         let worth = self.link.rules.routes.get(&line.name).map(|r| r.worth);
@@ -268,7 +273,7 @@
             let own = p.own.as_mut()?;
             own.attempts += 1;
             let (epoch, attempt_id) = (own.epoch, own.attempts);
-            let duty = Duty::Reach(String::new());
+            let duty = Duty::TargetShard(String::new());
             let flight = Flight {
                 duty: duty.clone(),
                 to: to.clone(),
@@ -276,7 +281,7 @@
                 owes: String::new(),
                 goal: Some(goal.clone()),
                 life,
-                end: now + (attempt + ROUTED_GRACE).percent(105),
+                end: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
             own.lane.flights.insert(seq, flight);
             let place = place.clone();
@@ -297,10 +302,10 @@
     /// A message's head and bytes as they are handed out; a call-back carries
     /// none, and its head says so. `Err` when they are not at hand, and
     /// whether the copy here is bad.
-    fn post_bytes(&mut self, place: &Place, id: &MessageId, call: bool) -> Result<(Head, Bytes), bool> {
+    fn post_bytes(&mut self, place: &PartitionId, id: &MessageId, call: bool) -> Result<(MessageHeader, Bytes), bool> {
         let head = self.parts.get(place).and_then(|p| p.recs.get(id)).map(|r| r.head.clone()).ok_or(true)?;
         if call {
-            return Ok((Head { len: 0, crc: crc32(b""), ..head }, Bytes::new()));
+            return Ok((MessageHeader { len: 0, crc: crc32(b""), ..head }, Bytes::new()));
         }
         match self.body_of(place, id) {
             Body::Here(b) => Ok((head, b)),
@@ -310,17 +315,17 @@
     }
 
     /// An attempt's hard end has passed without a word of it.
-    pub(super) fn lapsed(&mut self, place: &Place, id: &MessageId, now: Time) {
+    pub(super) fn lapsed(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
         let routed = self.parts.get(place).and_then(|p| p.recs.get(id)).is_some_and(|r| !r.head.route.is_empty());
         match routed {
-            true => self.post_back(place, id, Told::Doubt, now),
+            true => self.post_back(place, id, AttemptOutcome::Unknown, now),
             false => self.back(place, id, true, now),
         }
     }
 
     /// A run ended without success: again later, or given up when a worker
     /// has said so often enough that it failed.
-    pub(super) fn post_back(&mut self, place: &Place, id: &MessageId, told: Told, now: Time) {
+    pub(super) fn post_back(&mut self, place: &PartitionId, id: &MessageId, told: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
         let Some(p) = self.parts.get_mut(place) else { return };
         let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get_mut(id)) else { return };
@@ -330,19 +335,19 @@
         }
         let double = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
         match r.stage {
-            Stage::Work => {
+            Stage::Pending => {
                 let Some(route) = self.link.rules.routes.get(&r.head.route) else {
                     let next = ended(r, Outcome::Expired);
                     return self.stage(place, id, next, None, now);
                 };
-                r.tries += u32::from(told == Told::Failed);
+                r.tries += u32::from(told == AttemptOutcome::Failed);
                 if r.tries >= route.attempts {
                     let next = ended(r, Outcome::GivenUp);
                     return self.stage(place, id, next, None, now);
                 }
                 let pause = match told {
-                    Told::Failed => double(FAILED_PAUSE, r.tries - 1, FAILED_PAUSE_MAX),
-                    Told::Unstarted => UNSTARTED_PAUSE,
+                    AttemptOutcome::Failed => double(FAILED_PAUSE, r.tries - 1, FAILED_PAUSE_MAX),
+                    AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
                     // A run that always goes past its time must not take a
                     // worker's slot again and again.
                     _ => {
@@ -353,15 +358,15 @@
                 };
                 own.lane.post(&r.head.route, &r.head.key, now + pause, seq);
             }
-            Stage::Owing(_) => {
+            Stage::EndedAwaitingCallback(_) => {
                 let pause = match told {
-                    Told::Unstarted => UNSTARTED_PAUSE,
+                    AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
                     _ => double(CALL_PAUSE, r.tries, CALL_PAUSE_MAX),
                 };
-                r.tries += u32::from(told != Told::Unstarted);
+                r.tries += u32::from(told != AttemptOutcome::NotStarted);
                 own.lane.calls.entry(r.head.desk.clone()).or_default().insert((now + pause, seq));
             }
-            Stage::Calling | Stage::Ended(_) => {}
+            Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
     }
 
@@ -369,7 +374,7 @@
     /// end; those under way when their run does.
     pub(super) fn end_dropped(&mut self, now: Time) {
         let rules = &self.link.rules;
-        let mut gone: Vec<(Place, MessageId, Stage)> = Vec::new();
+        let mut gone: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
         for (place, p) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.serving(k, now)) {
             let Some(own) = p.own.as_ref() else { continue };
             for (name, due) in &own.lane.posts {
--- a/crates/waitlist/src/store/upkeep.rs
+++ b/crates/waitlist/src/store/upkeep.rs
@@ -13,7 +13,7 @@
     /// time or their worth, and the oldest files.
     pub(super) fn sweep(&mut self, now: Time) {
         let retain = self.link.rules.retain;
-        let owned: Vec<Place> = self.parts.keys().filter(|p| self.serving(p, now)).cloned().collect();
+        let owned: Vec<PartitionId> = self.parts.keys().filter(|p| self.serving(p, now)).cloned().collect();
         for place in owned {
             self.lapse_overdue(&place, now);
             let Some(p) = self.parts.get_mut(&place) else { continue };
@@ -32,14 +32,14 @@
             for (id, r) in &p.recs {
                 match r.stage {
                     Stage::Ended(_) if retain > Span::ZERO && now.since(r.ended) > retain => drop.push(id.clone()),
-                    Stage::Work
+                    Stage::Pending
                         if r.head.ttl.is_some_and(|t| now.since(r.taken) > t)
                             && !own.lane.flights.contains_key(&r.head.seq)
                             && !own.won.contains(&r.head.seq) =>
                     {
                         old.push(id.clone());
                     }
-                    Stage::Work if !r.head.route.is_empty() && !own.shown.contains_key(id) && !own.lane.stands(&r.head) => {
+                    Stage::Pending if !r.head.route.is_empty() && !own.shown.contains_key(id) && !own.lane.stands(&r.head) => {
                         stranded.push(id.clone());
                     }
                     _ => {}
@@ -55,7 +55,7 @@
                 self.stage(&place, &id, Stage::Ended(Outcome::Expired), None, now);
             }
             for id in drop.into_iter().take(2000) {
-                self.write(&place, Op::Drop(id), now);
+                self.write(&place, PartitionOp::Remove(id), now);
             }
         }
         self.end_dropped(now);
@@ -76,7 +76,7 @@
             let old: Vec<MessageId> = p.recs.iter().filter(|(_, r)| past(r)).map(|(id, _)| id.clone()).take(1000).collect();
             for id in old {
                 self.held_bytes += p.drop(place, &id, &mut self.ledger);
-                self.ledger.push(Line::Op { place: place.clone(), n: p.n, op: Op::Drop(id) });
+                self.ledger.push(Line::Op { place: place.clone(), n: p.n, op: PartitionOp::Remove(id) });
             }
         }
     }
--- a/crates/waitlist/tests/bounded_copies.rs
+++ b/crates/waitlist/tests/bounded_copies.rs
@@ -12,17 +12,23 @@
 /// Less than two partitions have.
 const BOUND: u64 = 30_000;
 
-fn place(part: u32) -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part }
+fn place(part: u32) -> PartitionId {
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part }
 }
 
 fn body(seq: u64) -> Bytes {
     Bytes::from(vec![seq as u8; BODY])
 }
 
-fn head(seq: u64) -> Head {
+fn head(seq: u64) -> MessageHeader {
     let body = body(seq);
-    Head { id: MessageId(format!("m{seq:04}")), seq, crc: crc32(&body), len: body.len() as u32, ..Head::default() }
+    MessageHeader {
+        id: MessageId(format!("m{seq:04}")),
+        seq,
+        crc: crc32(&body),
+        len: body.len() as u32,
+        ..MessageHeader::default()
+    }
 }
 
 /// The keeper's answer: all records first, then the bytes of one message.
@@ -30,7 +36,7 @@
     let (n, next, complete) = (MESSAGES, MESSAGES + 1, true);
     let empty = CopyPart { from: None, ops: Vec::new(), bodies: Vec::new(), records: Vec::new(), n, next, complete };
     if request.position.is_none() {
-        let records = (1..=MESSAGES).map(|seq| (head(seq), Stage::Work)).collect();
+        let records = (1..=MESSAGES).map(|seq| (head(seq), Stage::Pending)).collect();
         return CopyPart { records, ..empty };
     }
     let seq_of = |id: &MessageId| (1..=MESSAGES).find(|seq| head(*seq).id == *id);
@@ -41,7 +47,7 @@
 struct Replica {
     core: Store,
     now: Time,
-    questions: VecDeque<(Place, CopyRequest)>,
+    questions: VecDeque<(PartitionId, CopyRequest)>,
     /// The most that unfinished copies held together.
     most: usize,
 }
@@ -49,13 +55,13 @@
 impl Replica {
     /// Told that it lacks every partition.
     fn new() -> Replica {
-        let me = Member { disk: Mark(2), ..member("store-2", "z2") };
+        let me = Member { disk: IncarnationId(2), ..member("store-2", "z2") };
         let startup = Startup { cache_max: BOUND, ..startup(me) };
-        let (core, _) = Store::new(startup, &Vec::new(), Mark(2), START);
+        let (core, _) = Store::new(startup, &Vec::new(), IncarnationId(2), START);
         let mut replica = Replica { core, now: START, questions: VecDeque::new(), most: 0 };
         replica.step(Event::Saved(1));
         for part in 0..PARTITIONS {
-            let lag = Msg::Lag { place: place(part), epoch: EPOCH, was: None, mark: Mark(2), short: false };
+            let lag = PeerMessage::Lagging { place: place(part), epoch: EPOCH, was: None, mark: IncarnationId(2), short: false };
             replica.hear(lag);
         }
         replica
@@ -65,7 +71,9 @@
         for effect in self.core.step(event, self.now) {
             match effect {
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
-                Effect::Say(_, Msg::Fetch { place, request: Some(request), .. }) => self.questions.push_back((place, request)),
+                Effect::Send(_, PeerMessage::FetchCopy { place, request: Some(request), .. }) => {
+                    self.questions.push_back((place, request))
+                }
                 _ => {}
             }
         }
@@ -73,8 +81,8 @@
         self.most = self.most.max(copies.map(|fetch| fetch.copy.brought()).sum());
     }
 
-    fn hear(&mut self, msg: Msg) {
-        self.step(Event::Hear { from: daemon("store-1"), msg });
+    fn hear(&mut self, msg: PeerMessage) {
+        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
     }
 
     /// Lets time pass while the keeper answers for all partitions but these.
@@ -83,11 +91,11 @@
         while self.now < end {
             while let Some((place, request)) = self.questions.pop_front() {
                 if !unanswered.contains(&place.part) {
-                    self.hear(Msg::CopyPart { place, epoch: EPOCH, part: Box::new(part_of(&request)) });
+                    self.hear(PeerMessage::CopyPart { place, epoch: EPOCH, part: Box::new(part_of(&request)) });
                 }
             }
             self.now += Span::millis(20);
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 
--- a/crates/waitlist/tests/departure.rs
+++ b/crates/waitlist/tests/departure.rs
@@ -28,12 +28,12 @@
     /// A store that placement has answered for a second, then told to stop.
     fn new(placement: Placement) -> Stopping {
         let now = Time(1_000_000);
-        let (core, out) = Store::new(startup(member("store-1", "z1")), &Vec::new(), Mark(1), now);
+        let (core, out) = Store::new(startup(member("store-1", "z1")), &Vec::new(), IncarnationId(1), now);
         let mut stopping = Stopping { core, now, began: now, placement, gone: None, told: 0 };
         stopping.obey(out);
         stopping.run(Span::secs(1));
         stopping.began = stopping.now;
-        stopping.step(Event::Leave);
+        stopping.step(Event::Shutdown);
         stopping
     }
 
@@ -45,17 +45,23 @@
     fn obey(&mut self, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(to, Msg::Need { asked, report: Some(report), .. }) => {
-                    let news =
-                        Msg::News { asked, term: TERM, fresh: None, items: Vec::new(), grants: Vec::new(), late: Vec::new() };
-                    self.step(Event::Hear { from: to.clone(), msg: news });
+                Effect::Send(to, PeerMessage::Pull { asked, report: Some(report), .. }) => {
+                    let news = PeerMessage::PullResponse {
+                        asked,
+                        term: TERM,
+                        fresh: None,
+                        items: Vec::new(),
+                        grants: Vec::new(),
+                        late: Vec::new(),
+                    };
+                    self.step(Event::MessageReceived { from: to.clone(), msg: news });
                     self.told += usize::from(report.stopping);
                     if let (true, Placement::Says { wait, term }) = (report.stopping, self.placement) {
-                        self.step(Event::Hear { from: to, msg: Msg::Departure { term, wait } });
+                        self.step(Event::MessageReceived { from: to, msg: PeerMessage::Departure { term, wait } });
                     }
                 }
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
-                Effect::Gone => _ = self.gone.get_or_insert(self.now.since(self.began)),
+                Effect::Exit => _ = self.gone.get_or_insert(self.now.since(self.began)),
                 _ => {}
             }
         }
@@ -65,7 +71,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += STEP;
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 }
@@ -114,10 +120,10 @@
 #[test]
 fn a_store_that_was_not_told_to_stop_heeds_no_answer() {
     let mut store = Stopping::new(Placement::Silent);
-    let (core, out) = Store::new(startup(member("store-1", "z1")), &Vec::new(), Mark(1), store.now);
+    let (core, out) = Store::new(startup(member("store-1", "z1")), &Vec::new(), IncarnationId(1), store.now);
     store.core = core;
     store.obey(out);
-    store.step(Event::Hear { from: daemon("placement-1"), msg: Msg::Departure { term: TERM, wait: false } });
+    store.step(Event::MessageReceived { from: daemon("placement-1"), msg: PeerMessage::Departure { term: TERM, wait: false } });
     store.run(Span::secs(7));
     assert_eq!((store.gone, store.told), (None, 0));
 }
--- a/crates/waitlist/tests/disk_stuck.rs
+++ b/crates/waitlist/tests/disk_stuck.rs
@@ -12,7 +12,7 @@
     assert!(fleet.accepted(1), "{:?}", fleet.told);
     fleet.stick(1);
     fleet.carry(2, 1);
-    assert!(matches!(fleet.told.get(&2), Some(Carried::NotTaken { code: 503, .. })), "{:?}", fleet.told);
+    assert!(matches!(fleet.told.get(&2), Some(SubmitOutcome::Rejected { code: 503, .. })), "{:?}", fleet.told);
     assert!(!fleet.stores[&store(1)].parts[&place()].recs.contains_key(&MessageId("m2".into())));
     fleet.free(1);
     fleet.carry(3, 1);
@@ -68,10 +68,10 @@
 #[test]
 fn a_torn_file_empties_the_folder_only_after_the_new_mark_is_saved() {
     let torn = ("lines-0000000000000002-0000000000000002".to_string(), Bytes::new());
-    let line = vec![Line::Mark(Mark(5))];
+    let line = vec![Line::Mark(IncarnationId(5))];
     let whole = ("lines-0000000000000001-0000000000000001".to_string(), Bytes::from(encode(&line)));
-    let (store, out) = Store::new(settings_of(1), &vec![whole, torn], Mark(9), Time::millis(1));
-    assert_eq!(store.mark, Mark(9));
+    let (store, out) = Store::new(settings_of(1), &vec![whole, torn], IncarnationId(9), Time::millis(1));
+    assert_eq!(store.mark, IncarnationId(9));
     let saved = out.iter().position(|e| matches!(e, Effect::Save { .. })).unwrap();
     let removed: Vec<usize> = (0..out.len()).filter(|at| matches!(out[*at], Effect::Remove(_))).collect();
     assert_eq!(removed.len(), 2);
@@ -94,7 +94,7 @@
     while fleet.phase(third) != Some(Phase::Fetching) {
         if !fleet.settle_one() {
             fleet.now += STEP;
-            fleet.queue.extend((1..=3).map(|n| (store(n), Event::Clock)));
+            fleet.queue.extend((1..=3).map(|n| (store(n), Event::Tick)));
         }
         assert!(fleet.now < Time(10_000_000), "it copied from nobody");
     }
--- a/crates/waitlist/tests/doubt.rs
+++ b/crates/waitlist/tests/doubt.rs
@@ -8,18 +8,18 @@
 /// Ends the latest attempt in doubt; gives how long the next was waited for.
 fn next_after_doubt(pair: &mut Pair) -> Span {
     let offer = pair.offers.last().unwrap();
-    let doubt = Settled {
+    let doubt = AttemptResult {
         place: place(),
         id: offer.head.id.clone(),
         epoch: offer.epoch,
         attempt: offer.attempt,
         stage: offer.stage,
-        told: Told::Doubt,
+        told: AttemptOutcome::Unknown,
         seal: String::new(),
         ended_ago: Span::ZERO,
     };
     let (begun, count) = (pair.now, pair.offers.len());
-    pair.step(0, Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![doubt] } });
+    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![doubt] } });
     while pair.offers.len() == count {
         assert!(pair.now.since(begun) < Span::secs(20), "it never runs again");
         pair.run(Span::millis(20));
--- a/crates/waitlist/tests/due.rs
+++ b/crates/waitlist/tests/due.rs
@@ -70,17 +70,17 @@
 /// is, and each one that comes makes its key longer.
 #[test]
 fn a_key_s_next_keeps_the_time_at_which_it_was_handed_in() {
-    let head = |seq: u64, key: &str| Head {
+    let head = |seq: u64, key: &str| MessageHeader {
         id: MessageId(format!("m{seq}")),
         key: key.into(),
         route: "turns".into(),
         seq,
-        ..Head::default()
+        ..MessageHeader::default()
     };
     let mut lane = Lane { ordered: true, ..Lane::default() };
     for (seq, key, wanted) in [(1, "a", 1_000), (2, "b", 1_200), (3, "a", 1_500), (4, "c", 9_400)] {
         lane.wanted.insert(seq, Time::millis(wanted));
-        lane.enter(&head(seq, key), Stage::Work, NOW);
+        lane.enter(&head(seq, key), Stage::Pending, NOW);
     }
     let due = lane.posts.get_mut("turns").unwrap();
     assert_eq!(order(due), [4, 2, 1]);
--- a/crates/waitlist/tests/frozen.rs
+++ b/crates/waitlist/tests/frozen.rs
@@ -18,17 +18,17 @@
 /// The word of its delivery that the attempt succeeded just now.
 fn success(pair: &Pair) -> Event {
     let offer = &pair.offers[0];
-    let one = Settled {
+    let one = AttemptResult {
         place: place(),
         id: offer.head.id.clone(),
         epoch: offer.epoch,
         attempt: offer.attempt,
         stage: offer.stage,
-        told: Told::Success,
+        told: AttemptOutcome::Success,
         seal: "seal".into(),
         ended_ago: Span::ZERO,
     };
-    Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![one] } }
+    Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } }
 }
 
 /// Finding of the soak (issue 32, seed 32308): the age that a delivery gives a
@@ -43,7 +43,7 @@
     // It is sent as the freeze begins, well before the attempt's end, and read
     // after it, behind the clock's event.
     pair.now += Span::secs(2);
-    pair.step(0, Event::Clock);
+    pair.step(0, Event::Tick);
     pair.step(0, word);
     pair.reach(FIRST, pair.now);
     pair.run(Span::secs(1));
@@ -60,7 +60,7 @@
         let mut pair = handed_out();
         pair.run(Span::millis(1_500));
         pair.now += frozen;
-        pair.step(0, Event::Clock);
+        pair.step(0, Event::Tick);
         pair.run(Span::secs(4));
         assert_eq!(pair.stores[0].counts.lapsed, 1, "after {frozen:?}");
         let word = success(&pair);
--- a/crates/waitlist/tests/hand_over.rs
+++ b/crates/waitlist/tests/hand_over.rs
@@ -24,19 +24,19 @@
 /// A delivery tells store `n` that attempt 1 of the first keeper succeeded.
 fn tell_success(fleet: &mut Fleet, n: u64) {
     let epoch = Epoch { term: TERM, count: 1 };
-    let told = Told::Success;
-    let one = Settled {
+    let told = AttemptOutcome::Success;
+    let one = AttemptResult {
         place: place(),
         id: id(),
         epoch,
         attempt: 1,
-        stage: Stage::Work,
+        stage: Stage::Pending,
         told,
         seal: String::new(),
         ended_ago: Span::ZERO,
     };
-    let msg = Msg::Settled { all: vec![one] };
-    fleet.queue.push_back((store(n), Event::Hear { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::AttemptResults { all: vec![one] };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("delivery-1"), msg }));
     fleet.settle();
 }
 
@@ -46,11 +46,11 @@
 
 /// The stage that callers are shown by store `n`.
 fn shown_by(fleet: &mut Fleet, n: u64) -> Stage {
-    let msg = Msg::Peek { ask: 9, proxy: daemon("proxy-1"), via: None, place: place(), id: id(), body: false };
-    fleet.queue.push_back((store(n), Event::Hear { from: daemon("proxy-1"), msg }));
+    let msg = PeerMessage::Lookup { ask: 9, proxy: daemon("proxy-1"), via: None, place: place(), id: id(), body: false };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("proxy-1"), msg }));
     fleet.settle();
     match fleet.shown.take() {
-        Some(Found::Here { stage, .. }) => stage,
+        Some(LookupResult::Found { stage, .. }) => stage,
         other => panic!("shown {other:?}"),
     }
 }
@@ -68,7 +68,7 @@
     let mut fleet = accepted_and_handed_over();
     tell_success(&mut fleet, 2);
     assert_eq!(fleet.noted, [(daemon("delivery-1"), 1)]);
-    assert_eq!(shown_by(&mut fleet, 2), Stage::Work);
+    assert_eq!(shown_by(&mut fleet, 2), Stage::Pending);
     let rest = fleet.own(2).unwrap().quiet.since(fleet.now);
     fleet.run(rest + Span::millis(1500));
     assert_eq!(shown_by(&mut fleet, 2), Stage::Ended(Outcome::Succeeded));
@@ -98,10 +98,10 @@
 /// Store 1 hears what a delivery takes of the partition.
 fn room(fleet: &mut Fleet, room: u32) {
     let epoch = Epoch { term: TERM, count: 1 };
-    let duties = vec![Room { duty: Duty::Deliver(place()), epoch, room, since: Span::ZERO }];
+    let duties = vec![Capacity { duty: Duty::Deliver(place()), epoch, room, since: Span::ZERO }];
     let places = vec![(place(), epoch)];
-    let msg = Msg::Room { asked: fleet.now, duties, places, holding: Vec::new(), reach: None };
-    fleet.queue.push_back((store(1), Event::Hear { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::Capacity { asked: fleet.now, duties, places, holding: Vec::new(), reach: None };
+    fleet.queue.push_back((store(1), Event::MessageReceived { from: daemon("delivery-1"), msg }));
     fleet.settle();
 }
 
--- a/crates/waitlist/tests/lane.rs
+++ b/crates/waitlist/tests/lane.rs
@@ -5,7 +5,7 @@
 
 fn flight(duty: Duty) -> Flight {
     let to = Daemon("delivery-1".into());
-    Flight { duty, to, attempt: 1, owes: String::new(), goal: None, life: Mark(0), end: NOW + Span::secs(3) }
+    Flight { duty, to, attempt: 1, owes: String::new(), goal: None, life: IncarnationId(0), end: NOW + Span::secs(3) }
 }
 
 #[test]
@@ -22,7 +22,7 @@
     let mut lane = Lane::default();
     lane.line.extend([(Time::millis(9_000), 1), (NOW, 2), (Time::millis(10_001), 3)]);
     assert_eq!(lane.ready(NOW, 100), 2);
-    let place = Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 };
+    let place = PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 };
     lane.flights.insert(4, flight(Duty::Deliver(place)));
     lane.flights.insert(5, flight(Duty::Endpoint("desk-1".into())));
     assert_eq!(lane.ready(NOW, 100), 3);
@@ -33,17 +33,17 @@
 /// one's call-back ended too: it stood in no line and was put back into one.
 #[test]
 fn a_record_that_leaves_twice_lets_the_next_of_its_key_in_once() {
-    let head = |seq: u64| Head {
+    let head = |seq: u64| MessageHeader {
         id: MessageId(format!("m{seq}")),
         key: "k".into(),
         route: "turns".into(),
         desk: "10.0.0.1:80".into(),
         seq,
-        ..Head::default()
+        ..MessageHeader::default()
     };
     let mut lane = Lane { ordered: true, ..Lane::default() };
-    lane.enter(&head(1), Stage::Work, NOW);
-    lane.enter(&head(2), Stage::Work, NOW);
+    lane.enter(&head(1), Stage::Pending, NOW);
+    lane.enter(&head(2), Stage::Pending, NOW);
     lane.leave_work(&head(1), NOW);
     assert_eq!(lane.posts["turns"].when(2), Some(NOW));
     // Handed out, and its end is applied but not yet on two stores.
--- a/crates/waitlist/tests/loaded/mod.rs
+++ b/crates/waitlist/tests/loaded/mod.rs
@@ -17,8 +17,8 @@
   "routes": [{"name": "bulk", "host": "h", "prefix": "/", "service": "sheets", "attempts": 3,
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
-fn place() -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
 }
 
 /// The name of the message that is handed in under this number.
@@ -38,7 +38,7 @@
     delay: Span,
     late: VecDeque<(Time, Daemon, Event)>,
     replica: Daemon,
-    set: Vec<(Daemon, Mark)>,
+    set: Vec<(Daemon, IncarnationId)>,
     /// Handed out, and not ended yet.
     under_way: VecDeque<Offer>,
     handed_in: u64,
@@ -46,7 +46,7 @@
     busy: bool,
     /// In how many steps one comes in and one ends.
     pace: u64,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
     /// Messages whose callers were told that they were accepted.
     accepted: Vec<MessageId>,
     report: Report,
@@ -89,9 +89,9 @@
             parts: 0,
         };
         for n in 1..=stores {
-            all.start_empty(&format!("store-{n}"), Mark(n));
+            all.start_empty(&format!("store-{n}"), IncarnationId(n));
         }
-        all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), Mark(n))).collect();
+        all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
         let own = all.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper");
         all.replica = own.mates.keys().next().expect("a replica").clone();
@@ -104,7 +104,7 @@
         all
     }
 
-    fn start_empty(&mut self, name: &str, mark: Mark) {
+    fn start_empty(&mut self, name: &str, mark: IncarnationId) {
         let zone = self.zone_of(name);
         let startup = Startup {
             pull: Span::millis(300),
@@ -162,7 +162,7 @@
     }
 
     /// A store's disk is lost; it starts again at once, with an empty one.
-    pub fn wipe(&mut self, store: &Daemon, mark: Mark) {
+    pub fn wipe(&mut self, store: &Daemon, mark: IncarnationId) {
         self.queue.retain(|(to, _)| to != store);
         self.start_empty(store.as_str(), mark);
     }
@@ -186,7 +186,7 @@
     pub fn lose_disk(&mut self) {
         let replica = self.replica.clone();
         self.queue.retain(|(to, _)| *to != replica);
-        self.start_empty(replica.as_str(), Mark(22));
+        self.start_empty(replica.as_str(), IncarnationId(22));
     }
 
     /// One message's bytes are altered at the keeper, and no other store has
@@ -231,7 +231,7 @@
         level && (told || own.counts(&self.replica, replica.mark))
     }
 
-    pub fn notes_of(&self, note: Note) -> usize {
+    pub fn notes_of(&self, note: LogEvent) -> usize {
         self.notes.iter().filter(|n| **n == note).count()
     }
 
@@ -242,7 +242,7 @@
             *mark = self.cores[id].mark;
         }
         self.run(Span::secs(3));
-        let records = |name: &str| -> Vec<(Head, Stage, Option<Bytes>)> {
+        let records = |name: &str| -> Vec<(MessageHeader, Stage, Option<Bytes>)> {
             let part = &self.cores[&daemon(name)].parts[&place()];
             part.recs.values().map(|r| (r.head.clone(), r.stage, r.bytes())).collect()
         };
@@ -269,7 +269,7 @@
         if self.now.0.is_multiple_of(20_000) {
             self.say_room();
             let stores: Vec<Daemon> = self.cores.keys().cloned().collect();
-            self.queue.extend(stores.into_iter().map(|id| (id, Event::Clock)));
+            self.queue.extend(stores.into_iter().map(|id| (id, Event::Tick)));
         }
         while let Some((_, to, event)) = self.late.pop_front_if(|late| late.0 <= self.now) {
             self.queue.push_back((to, event));
@@ -284,27 +284,29 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Note(note, _) => self.notes.push(note),
+                Effect::Log(note, _) => self.notes.push(note),
                 Effect::Load { n, .. } => self.queue.push_back((id.clone(), Event::Loaded(n, None))),
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
-                Effect::Say(_, Msg::Need { asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Say(_, Msg::Offers { all, .. }) => self.under_way.extend(all),
-                Effect::Say(_, Msg::Carried { ask, word: Carried::Accepted { .. }, .. }) => self.accepted.push(name_of(ask)),
-                Effect::Say(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => self.carry(id, to, msg),
+                Effect::Send(_, PeerMessage::Pull { asked, report, .. }) => self.answer(id, asked, report),
+                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.under_way.extend(all),
+                Effect::Send(_, PeerMessage::SubmitResponse { ask, word: SubmitOutcome::Accepted { .. }, .. }) => {
+                    self.accepted.push(name_of(ask))
+                }
+                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => self.carry(id, to, msg),
                 _ => {}
             }
         }
     }
 
-    fn carry(&mut self, from: &Daemon, to: Daemon, msg: Msg) {
+    fn carry(&mut self, from: &Daemon, to: Daemon, msg: PeerMessage) {
         let size = encode(&msg).len();
         self.largest = self.largest.max(size);
-        self.parts += usize::from(matches!(msg, Msg::CopyPart { .. }));
+        self.parts += usize::from(matches!(msg, PeerMessage::CopyPart { .. }));
         if *from == daemon(KEEPER) && to == self.replica {
             self.sent_to_replica += size;
         }
-        let event = Event::Hear { from: from.clone(), msg };
+        let event = Event::MessageReceived { from: from.clone(), msg };
         match self.delay {
             Span::ZERO => self.queue.push_back((to, event)),
             delay => self.late.push_back((self.now + delay, to, event)),
@@ -318,11 +320,11 @@
             let zone = self.zone_of(id.as_str());
             Member { disk: core.mark, ..member(id.as_str(), &zone) }
         });
-        let placing = Placing { keeper: daemon(KEEPER), epoch: EPOCH };
+        let placing = PartitionLocation { keeper: daemon(KEEPER), epoch: EPOCH };
         let items = vec![
-            (version, Item::Charter(ROUTES.to_string())),
-            (version, Item::Members(members.collect())),
-            (version, Item::Places(vec![(place(), placing)])),
+            (version, Update::Charter(ROUTES.to_string())),
+            (version, Update::Members(members.collect())),
+            (version, Update::Partitions(vec![(place(), placing)])),
         ];
         let mut grants = Vec::new();
         if *to == daemon(KEEPER) && !self.set.is_empty() {
@@ -331,8 +333,8 @@
             let duty = Duty::Keep(place());
             grants.push(Grant { duty, epoch: EPOCH, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None });
         }
-        let msg = Msg::News { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::Hear { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
     }
 
     /// A proxy hands a message in. Names are spread as hashes are.
@@ -340,15 +342,15 @@
         self.handed_in += 1;
         let number = self.handed_in;
         let body = Bytes::from(vec![number as u8; BODY]);
-        let head = Head {
+        let head = MessageHeader {
             id: name_of(number),
             crc: crc32(&body),
             len: BODY as u32,
             route: "bulk".into(),
             parcel: Some(Box::default()),
-            ..Head::default()
+            ..MessageHeader::default()
         };
-        let msg = Msg::Carry {
+        let msg = PeerMessage::Submit {
             ask: number,
             proxy: daemon("proxy-1"),
             via: None,
@@ -357,35 +359,35 @@
             version: Version { term: TERM, count: 1 },
             head,
             body,
-            stamp: Some(Stamp { reading: Some(Reading { life: Mark(1), at: self.now }), age: Span::ZERO }),
+            stamp: Some(AgeBound { reading: Some(ClockReading { life: IncarnationId(1), at: self.now }), age: Span::ZERO }),
             refuse: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
     }
 
     /// The delivery says what it takes.
     fn say_room(&mut self) {
-        let reach = Reach { life: Mark(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
+        let reach = RoutedCapacity { life: IncarnationId(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
         let places = vec![(place(), EPOCH)];
-        let msg = Msg::Room { asked: self.now, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::Capacity { asked: self.now, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), msg }));
     }
 
     /// A worker is done with a message; not always with the oldest.
     fn end_one(&mut self) {
         let at = (self.handed_in as usize * 7919) % self.under_way.len().max(1);
         let Some(offer) = self.under_way.remove(at) else { return };
-        let one = Settled {
+        let one = AttemptResult {
             place: place(),
             id: offer.head.id,
             epoch: offer.epoch,
             attempt: offer.attempt,
             stage: offer.stage,
-            told: Told::Success,
+            told: AttemptOutcome::Success,
             seal: "seal".into(),
             ended_ago: Span::ZERO,
         };
-        let msg = Msg::Settled { all: vec![one] };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::AttemptResults { all: vec![one] };
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), msg }));
     }
 }
--- a/crates/waitlist/tests/near_mates.rs
+++ b/crates/waitlist/tests/near_mates.rs
@@ -81,7 +81,7 @@
         let mut mark = 100;
         for store in of(lost) {
             mark += 1;
-            all.wipe(&store, Mark(mark));
+            all.wipe(&store, IncarnationId(mark));
         }
         let (holders, _) = all.fewest_holders();
         assert!(holders >= 1, "{dark} dark, disks of {lost} lost: a message is gone");
@@ -96,7 +96,7 @@
     let near = daemon("store-2");
     run_safely(&mut all, Span::secs(1), 3);
     assert!(all.mates().contains(&near));
-    all.wipe(&near, Mark(77));
+    all.wipe(&near, IncarnationId(77));
     // What stood on it lacks one copy until it is made whole.
     run_safely(&mut all, Span::millis(500), 2);
     let before = all.accepted();
@@ -134,7 +134,7 @@
 fn the_only_mate_without_its_disk_gives_way_to_the_third_store() {
     let mut all = Loaded::with_messages(3, 20);
     let mate = all.mates().remove(0);
-    all.wipe(&mate, Mark(88));
+    all.wipe(&mate, IncarnationId(88));
     run_safely(&mut all, Span::millis(500), 1);
     let before = all.accepted();
     run_safely(&mut all, Span::secs(2), 1);
--- a/crates/waitlist/tests/pair/mod.rs
+++ b/crates/waitlist/tests/pair/mod.rs
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 
 pub const NOW: Time = Time::millis(10_000);
-pub const FIRST: Mark = Mark(7);
-pub const SECOND: Mark = Mark(5);
+pub const FIRST: IncarnationId = IncarnationId(7);
+pub const SECOND: IncarnationId = IncarnationId(5);
 pub const TERM: Term = Term(1);
 pub const ROUTES: &str = r#"{"revision": 1, "spool": 1,
   "services": [{"name": "sheets", "slots": 4}],
   "routes": [{"name": "bulk", "host": "h", "prefix": "/", "service": "sheets", "attempts": 3,
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
-pub fn place() -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+pub fn place() -> PartitionId {
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
 }
 
 pub fn epoch() -> Epoch {
@@ -27,7 +27,7 @@
     pub stores: [Store; 2],
     pub offers: Vec<Offer>,
     /// Told to the proxy.
-    pub told: Vec<Carried>,
+    pub told: Vec<SubmitOutcome>,
     /// Bodies that a store asked a replica outside of the pair for.
     pub wanted: Vec<MessageId>,
     /// What each store saved.
@@ -37,8 +37,8 @@
 impl Pair {
     pub fn new() -> Pair {
         let store = |n: u64| {
-            let me = Member { disk: Mark(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
-            Store::new(startup(me), &Vec::new(), Mark(n), NOW).0
+            let me = Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
+            Store::new(startup(me), &Vec::new(), IncarnationId(n), NOW).0
         };
         let mut pair = Pair {
             now: NOW,
@@ -63,36 +63,36 @@
                     self.files[at].insert(name, bytes);
                     self.step(at, Event::Saved(n));
                 }
-                Effect::Say(_, Msg::Want { ids, .. }) => self.wanted.extend(ids),
-                Effect::Say(_, Msg::Carried { word, .. }) => self.told.push(word),
-                Effect::Say(to, msg) if to == daemon(&format!("store-{}", 2 - at)) => {
+                Effect::Send(_, PeerMessage::FetchBodies { ids, .. }) => self.wanted.extend(ids),
+                Effect::Send(_, PeerMessage::SubmitResponse { word, .. }) => self.told.push(word),
+                Effect::Send(to, msg) if to == daemon(&format!("store-{}", 2 - at)) => {
                     let from = daemon(&format!("store-{}", at + 1));
-                    self.step(1 - at, Event::Hear { from, msg });
+                    self.step(1 - at, Event::MessageReceived { from, msg });
                 }
-                Effect::Say(to, Msg::Need { asked, .. }) => {
+                Effect::Send(to, PeerMessage::Pull { asked, .. }) => {
                     let msg = self.news(at, asked);
-                    self.step(at, Event::Hear { from: to, msg });
+                    self.step(at, Event::MessageReceived { from: to, msg });
                 }
-                Effect::Say(_, Msg::Offers { all, .. }) => self.offers.extend(all),
+                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.offers.extend(all),
                 _ => {}
             }
         }
     }
 
-    pub fn news(&self, at: usize, asked: Time) -> Msg {
+    pub fn news(&self, at: usize, asked: Time) -> PeerMessage {
         let version = Version { term: TERM, count: 1 };
-        let member_of = |n: u64| Member { disk: Mark(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
-        let placing = Placing { keeper: daemon("store-1"), epoch: epoch() };
+        let member_of = |n: u64| Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
+        let placing = PartitionLocation { keeper: daemon("store-1"), epoch: epoch() };
         let items = vec![
-            (version, Item::Charter(ROUTES.to_string())),
-            (version, Item::Members(vec![member_of(1), member_of(2)])),
-            (version, Item::Places(vec![(place(), placing)])),
+            (version, Update::Charter(ROUTES.to_string())),
+            (version, Update::Members(vec![member_of(1), member_of(2)])),
+            (version, Update::Partitions(vec![(place(), placing)])),
         ];
-        let set = (1..=2).map(|n| (daemon(&format!("store-{n}")), Mark(n))).collect();
+        let set = (1..=2).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         let duty = Duty::Keep(place());
         let grant = Grant { duty, epoch: epoch(), set, swap: None, swap_number: Version::ZERO, shed: false, slice: None };
         let grants = if at == 0 { vec![grant] } else { Vec::new() };
-        Msg::News { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
+        PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
     }
 
     pub fn run(&mut self, span: Span) {
@@ -100,23 +100,23 @@
         while self.now < end {
             self.now += Span::millis(20);
             for at in [0, 1] {
-                self.step(at, Event::Clock);
+                self.step(at, Event::Tick);
             }
         }
     }
 
     /// A proxy hands the message in; gives what it is told.
-    pub fn carry(&mut self) -> Vec<Carried> {
+    pub fn carry(&mut self) -> Vec<SubmitOutcome> {
         let body = Bytes::from_static(b"body");
-        let head = Head {
+        let head = MessageHeader {
             id: MessageId("0-1".into()),
             crc: crc32(&body),
             len: body.len() as u32,
             route: "bulk".into(),
             parcel: Some(Box::default()),
-            ..Head::default()
+            ..MessageHeader::default()
         };
-        let msg = Msg::Carry {
+        let msg = PeerMessage::Submit {
             ask: 1,
             proxy: daemon("proxy-1"),
             via: None,
@@ -125,18 +125,18 @@
             version: Version { term: TERM, count: 1 },
             head,
             body,
-            stamp: Some(Stamp { reading: Some(Reading { life: Mark(1), at: self.now }), age: Span::ZERO }),
+            stamp: Some(AgeBound { reading: Some(ClockReading { life: IncarnationId(1), at: self.now }), age: Span::ZERO }),
             refuse: None,
         };
-        self.step(0, Event::Hear { from: daemon("proxy-1"), msg });
+        self.step(0, Event::MessageReceived { from: daemon("proxy-1"), msg });
         std::mem::take(&mut self.told)
     }
 
     /// The delivery, in one of its lives, says what it takes.
-    pub fn reach(&mut self, life: Mark, asked: Time) {
-        let reach = Reach { life, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
+    pub fn reach(&mut self, life: IncarnationId, asked: Time) {
+        let reach = RoutedCapacity { life, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
         let places = vec![(place(), epoch())];
-        let msg = Msg::Room { asked, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
-        self.step(0, Event::Hear { from: daemon("delivery-1"), msg });
+        let msg = PeerMessage::Capacity { asked, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
+        self.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg });
     }
 }
--- a/crates/waitlist/tests/released.rs
+++ b/crates/waitlist/tests/released.rs
@@ -20,12 +20,12 @@
 }
 
 /// The delivery tells how the attempt ended.
-fn tell(pair: &mut Pair, told: Told) {
+fn tell(pair: &mut Pair, told: AttemptOutcome) {
     let offer = pair.offers.last().unwrap();
     let (place, id, stage) = (place(), offer.head.id.clone(), offer.stage);
     let (epoch, attempt) = (offer.epoch, offer.attempt);
-    let one = Settled { place, id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
-    pair.step(0, Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![one] } });
+    let one = AttemptResult { place, id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
+    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } });
 }
 
 fn record(pair: &Pair, at: usize) -> &Rec {
@@ -36,7 +36,7 @@
 fn a_message_that_was_done_holds_no_bytes_on_any_replica() {
     let mut pair = accepted();
     assert_eq!(pair.stores[0].held_bytes, 4);
-    tell(&mut pair, Told::Success);
+    tell(&mut pair, AttemptOutcome::Success);
     for at in [0, 1] {
         assert_eq!(pair.stores[at].held_bytes, 0, "store {at}");
         let record = record(&pair, at);
@@ -48,7 +48,7 @@
 #[test]
 fn a_dead_message_keeps_its_bytes() {
     let mut pair = accepted();
-    tell(&mut pair, Told::Never);
+    tell(&mut pair, AttemptOutcome::PermanentFailure);
     assert_eq!(record(&pair, 0).stage, Stage::Ended(Outcome::Failed));
     assert_eq!(record(&pair, 0).body.as_deref(), Some(&b"body"[..]));
     assert_eq!(pair.stores[0].held_bytes, 4);
@@ -57,9 +57,9 @@
 #[test]
 fn a_late_copy_of_a_message_that_was_done_is_accepted_and_runs_no_more() {
     let mut pair = accepted();
-    tell(&mut pair, Told::Success);
+    tell(&mut pair, AttemptOutcome::Success);
     let told = pair.carry();
-    assert_eq!(told, [Carried::Accepted { stage: Stage::Ended(Outcome::Succeeded) }]);
+    assert_eq!(told, [SubmitOutcome::Accepted { stage: Stage::Ended(Outcome::Succeeded) }]);
     pair.reach(FIRST, pair.now);
     pair.run(Span::millis(300));
     assert_eq!(pair.offers.len(), 1);
@@ -68,15 +68,18 @@
 #[test]
 fn a_replica_that_copies_needs_no_bytes_of_what_was_done() {
     let mut pair = accepted();
-    tell(&mut pair, Told::Success);
+    tell(&mut pair, AttemptOutcome::Success);
     let digest = pair.stores[0].parts[&place()].digest();
-    let me = Member { disk: Mark(3), ..member("store-3", "z3") };
-    let (mut third, _) = Store::new(startup(me), &Vec::new(), Mark(3), pair.now);
+    let me = Member { disk: IncarnationId(3), ..member("store-3", "z3") };
+    let (mut third, _) = Store::new(startup(me), &Vec::new(), IncarnationId(3), pair.now);
     let from = daemon("store-1");
-    let hear = |msg| Event::Hear { from: from.clone(), msg };
-    third.step(hear(Msg::Lag { place: place(), epoch: epoch(), was: None, mark: Mark(3), short: true }), pair.now);
-    let said = third.step(hear(Msg::Fetched { place: place(), epoch: epoch(), digest }), pair.now);
-    assert!(!said.iter().any(|e| matches!(e, Effect::Say(_, Msg::Want { .. }))), "{said:?}");
+    let hear = |msg| Event::MessageReceived { from: from.clone(), msg };
+    third.step(
+        hear(PeerMessage::Lagging { place: place(), epoch: epoch(), was: None, mark: IncarnationId(3), short: true }),
+        pair.now,
+    );
+    let said = third.step(hear(PeerMessage::WholeCopy { place: place(), epoch: epoch(), digest }), pair.now);
+    assert!(!said.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::FetchBodies { .. }))), "{said:?}");
     assert_eq!(third.parts[&place()].recs[&id()].stage, Stage::Ended(Outcome::Succeeded));
 }
 
@@ -85,16 +88,16 @@
 fn a_replica_whose_success_did_not_count_gets_the_bytes_back() {
     let mut pair = accepted();
     let before = pair.stores[0].parts[&place()].digest();
-    tell(&mut pair, Told::Success);
+    tell(&mut pair, AttemptOutcome::Success);
     let next = Epoch { term: TERM, count: 2 };
     let from = daemon("store-9");
-    let hear = |msg| Event::Hear { from: from.clone(), msg };
-    pair.step(1, hear(Msg::Lag { place: place(), epoch: next, was: None, mark: Mark(2), short: false }));
-    pair.step(1, hear(Msg::Fetched { place: place(), epoch: next, digest: before }));
+    let hear = |msg| Event::MessageReceived { from: from.clone(), msg };
+    pair.step(1, hear(PeerMessage::Lagging { place: place(), epoch: next, was: None, mark: IncarnationId(2), short: false }));
+    pair.step(1, hear(PeerMessage::WholeCopy { place: place(), epoch: next, digest: before }));
     assert!(pair.wanted.contains(&id()), "the bytes are not asked for");
     let all = vec![(id(), Bytes::from_static(b"body"))];
-    pair.step(1, hear(Msg::Bodies { place: place(), epoch: next, all }));
-    assert_eq!(record(&pair, 1).stage, Stage::Work);
+    pair.step(1, hear(PeerMessage::Bodies { place: place(), epoch: next, all }));
+    assert_eq!(record(&pair, 1).stage, Stage::Pending);
     assert_eq!(record(&pair, 1).body.as_deref(), Some(&b"body"[..]));
     assert_eq!(pair.stores[1].held_bytes, 4);
 }
@@ -102,10 +105,10 @@
 #[test]
 fn a_store_that_starts_again_holds_what_it_held() {
     let mut pair = accepted();
-    tell(&mut pair, Told::Success);
+    tell(&mut pair, AttemptOutcome::Success);
     let files: Vec<(String, Bytes)> = pair.files[0].clone().into_iter().collect();
-    let me = Member { disk: Mark(1), ..member("store-1", "z1") };
-    let (store, _) = Store::new(startup(me), &files, Mark(8), pair.now);
+    let me = Member { disk: IncarnationId(1), ..member("store-1", "z1") };
+    let (store, _) = Store::new(startup(me), &files, IncarnationId(8), pair.now);
     assert_eq!(store.held_bytes, 0);
     let record = &store.parts[&place()].recs[&id()];
     assert_eq!((record.stage, record.head.len), (Stage::Ended(Outcome::Succeeded), 0));
--- a/crates/waitlist/tests/replacement.rs
+++ b/crates/waitlist/tests/replacement.rs
@@ -14,8 +14,8 @@
 /// It stands in the keeper's zone.
 const NEIGHBOUR: &str = "store-9";
 
-fn place() -> Place {
-    Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
 }
 
 fn in_own_zone(name: &str) -> Member {
@@ -29,7 +29,7 @@
     /// Stores that hear nothing and are heard by nobody.
     cut: BTreeSet<Daemon>,
     queue: Queue<(Daemon, Event)>,
-    set: Vec<(Daemon, Mark)>,
+    set: Vec<(Daemon, IncarnationId)>,
     /// The count of the keeper's epoch.
     epoch: u64,
     swap: Option<(Daemon, Daemon, u64)>,
@@ -60,7 +60,7 @@
             asked: 0,
         };
         for name in set.iter().copied().chain([JOINER]) {
-            s.start_empty(name, Mark(hash_of(name.as_bytes())));
+            s.start_empty(name, IncarnationId(hash_of(name.as_bytes())));
         }
         s.set = set.iter().map(|n| (daemon(n), s.mark(n))).collect();
         s.run(3_000);
@@ -68,7 +68,7 @@
         s
     }
     /// Starts a store on an empty folder.
-    fn start_empty(&mut self, name: &str, mark: Mark) {
+    fn start_empty(&mut self, name: &str, mark: IncarnationId) {
         let settings = Startup {
             pull: Span::millis(300),
             word: Span::millis(500),
@@ -81,7 +81,7 @@
         self.starts += 1;
         self.obey(&daemon(name), out);
     }
-    fn mark(&self, name: &str) -> Mark {
+    fn mark(&self, name: &str) -> IncarnationId {
         self.cores[&daemon(name)].mark
     }
     fn keeper(&self) -> &Keep {
@@ -90,13 +90,13 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Say(_, Msg::Need { asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Say(_, Msg::Carried { ask, word: Carried::Accepted { .. }, .. }) => {
+                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(_, PeerMessage::Pull { asked, report, .. }) => self.answer(id, asked, report),
+                Effect::Send(_, PeerMessage::SubmitResponse { ask, word: SubmitOutcome::Accepted { .. }, .. }) => {
                     self.accepted.insert(ask);
                 }
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::Hear { from: id.clone(), msg }));
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), msg }));
                 }
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
@@ -109,7 +109,7 @@
         let version = Version { term: Term(1), count: 1 };
         let rules = json_of_rules();
         let listed = Version { count: self.starts, ..version };
-        let items = vec![(listed, Item::Members(members)), (version, Item::Charter(rules))];
+        let items = vec![(listed, Update::Members(members)), (version, Update::Charter(rules))];
         let mut grants = Vec::new();
         if *to == daemon(KEEPER) && !self.set.is_empty() {
             self.report = report.unwrap_or_default();
@@ -122,8 +122,8 @@
             grants.push(Grant { duty, epoch, set: self.set.clone(), swap, swap_number, shed: false, slice: None });
         }
         let fresh = Some(Span::millis(2_500));
-        let msg = Msg::News { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::Hear { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
     }
     fn drain(&mut self) {
         while let Some((id, event)) = self.queue.pop_front() {
@@ -137,15 +137,15 @@
         while self.now < end {
             self.now += STEP;
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
-                self.queue.push_back((id, Event::Clock));
+                self.queue.push_back((id, Event::Tick));
                 self.drain();
             }
         }
     }
     fn carry(&mut self, ask: u64, body: Bytes) {
         let id = MessageId(format!("m{ask}"));
-        let head = Head { id, crc: crc32(&body), len: body.len() as u32, ..Head::default() };
-        let msg = Msg::Carry {
+        let head = MessageHeader { id, crc: crc32(&body), len: body.len() as u32, ..MessageHeader::default() };
+        let msg = PeerMessage::Submit {
             ask,
             proxy: daemon("proxy-1"),
             via: None,
@@ -157,7 +157,7 @@
             stamp: None,
             refuse: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
     }
     /// Hands messages to the keeper; all are accepted.
     fn hand_in(&mut self, count: u64) {
@@ -304,7 +304,7 @@
 #[test]
 fn a_partition_that_waits_for_another_zone_makes_a_lost_disk_whole() {
     let mut s = without_another_zone();
-    let fresh = Mark(4711);
+    let fresh = IncarnationId(4711);
     s.start_empty(LEAVER, fresh);
     s.cut.clear();
     s.run(1_500);
@@ -317,8 +317,8 @@
 /// What the keeper tells operators of its partition.
 fn status(s: &mut Stores) -> String {
     let keeper = s.cores.get_mut(&daemon(KEEPER)).unwrap();
-    let out = keeper.step(Event::Ask(AskId(1), Ask::Status), s.now);
-    out.into_iter().find_map(|e| if let Effect::Tell(_, v) = e { Some(v.json) } else { None }).unwrap()
+    let out = keeper.step(Event::Request(RequestId(1), ApiRequest::Status), s.now);
+    out.into_iter().find_map(|e| if let Effect::Respond(_, v) = e { Some(v.json) } else { None }).unwrap()
 }
 
 #[test]
@@ -327,14 +327,14 @@
     assert!(status(&mut s).contains(r#""lacks_copies_at":[]"#));
     s.hand_in(20);
     s.cut.insert(daemon(LEAVER));
-    s.start_empty(LEAVER, Mark(4711));
+    s.start_empty(LEAVER, IncarnationId(4711));
     s.run(2_000);
     let told = status(&mut s);
     assert!(told.contains(r#""lacks_copies_at":["store-2"]"#), "{told}");
     assert!(!told.contains(r#""lacks_copies_ms":null"#), "{told}");
     s.cut.clear();
     s.run(1_500);
-    s.set[1] = (daemon(LEAVER), Mark(4711));
+    s.set[1] = (daemon(LEAVER), IncarnationId(4711));
     s.run(1_000);
     assert!(status(&mut s).contains(r#""lacks_copies_ms":null"#));
 }
--- a/crates/waitlist/tests/settings/mod.rs
+++ b/crates/waitlist/tests/settings/mod.rs
@@ -11,8 +11,8 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        life: IncarnationId(1),
+        disk: IncarnationId(0),
         machine: String::new(),
     }
 }
--- a/crates/waitlist/tests/silent_mates.rs
+++ b/crates/waitlist/tests/silent_mates.rs
@@ -86,6 +86,6 @@
     let mut all = busy();
     all.delay(Span::millis(400));
     all.run(Span::secs(6));
-    let changes = all.notes_of(Note::MateMatched);
+    let changes = all.notes_of(LogEvent::MateMatched);
     assert!(changes <= 4, "{changes} changes");
 }
--- a/crates/waitlist/tests/snapshot.rs
+++ b/crates/waitlist/tests/snapshot.rs
@@ -12,7 +12,7 @@
     let mut stores = Loaded::with_messages(3, 600);
     stores.lose_disk();
     let took = stores.run_until_whole(Span::secs(4));
-    assert_eq!(stores.notes_of(Note::BadBody), 0, "bytes that were let go of pass for bad ones");
+    assert_eq!(stores.notes_of(LogEvent::BodyChecksumMismatch), 0, "bytes that were let go of pass for bad ones");
     assert!(took < Span::secs(1), "{} ms", took.as_millis());
     stores.assert_same();
 }
--- a/crates/waitlist/tests/spread_mates.rs
+++ b/crates/waitlist/tests/spread_mates.rs
@@ -14,7 +14,7 @@
   "routes":[{"name":"r","host":"h","prefix":"/a/","service":"s","attempts":3,"attempt_ms":1000,"verdict_ms":80}]}"#;
 
 fn in_own_zone(name: &str) -> Member {
-    Member { disk: Mark(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
+    Member { disk: IncarnationId(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
 }
 
 /// Three stores; what one of them says comes a step later.
@@ -53,10 +53,10 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(_, Msg::Need { asked, .. }) => self.answer(id, asked),
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => {
-                    self.copies += usize::from(matches!(msg, Msg::Fetch { .. }));
-                    let event = Event::Hear { from: id.clone(), msg };
+                Effect::Send(_, PeerMessage::Pull { asked, .. }) => self.answer(id, asked),
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
+                    self.copies += usize::from(matches!(msg, PeerMessage::FetchCopy { .. }));
+                    let event = Event::MessageReceived { from: id.clone(), msg };
                     match id.as_str() == SLOW {
                         true => self.late.push_back((to, event)),
                         false => self.queue.push_back((to, event)),
@@ -72,8 +72,8 @@
     fn answer(&mut self, to: &Daemon, asked: Time) {
         let version = Version { term: Term(1), count: 1 };
         let members: Vec<Member> = [KEEPER, FAST, SLOW].map(in_own_zone).to_vec();
-        let set: Vec<(Daemon, Mark)> = members.iter().map(|m| (m.id.clone(), m.disk)).collect();
-        let items = vec![(version, Item::Members(members)), (version, Item::Charter(CHARTER.to_string()))];
+        let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk)).collect();
+        let items = vec![(version, Update::Members(members)), (version, Update::Charter(CHARTER.to_string()))];
         let grant = |part: u32| Grant {
             duty: Duty::Keep(Rules::spool_place(part)),
             epoch: Epoch { term: Term(1), count: self.epoch },
@@ -86,8 +86,8 @@
         let granted = if to.as_str() == KEEPER { PARTITIONS } else { 0 };
         let grants = (0..granted).map(grant).collect();
         let fresh = Some(Span::millis(2_500));
-        let msg = Msg::News { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::Hear { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
     }
 
     fn drain(&mut self) {
@@ -104,7 +104,7 @@
             self.now += STEP;
             self.queue.append(&mut self.late);
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
-                self.queue.push_back((id, Event::Clock));
+                self.queue.push_back((id, Event::Tick));
                 self.drain();
             }
         }
@@ -144,8 +144,8 @@
     for part in 0..PARTITIONS {
         let body = Bytes::from_static(b"body");
         let id = MessageId(format!("m{part}"));
-        let head = Head { id, crc: crc32(&body), len: 4, ..Head::default() };
-        let msg = Msg::Carry {
+        let head = MessageHeader { id, crc: crc32(&body), len: 4, ..MessageHeader::default() };
+        let msg = PeerMessage::Submit {
             ask: u64::from(part),
             proxy: daemon("proxy-1"),
             via: None,
@@ -157,7 +157,7 @@
             stamp: None,
             refuse: None,
         };
-        stores.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("proxy-1"), msg }));
+        stores.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
     }
     stores.run(1_000);
     stores.epoch = 2;
--- a/crates/waitlist/tests/success_and_news.rs
+++ b/crates/waitlist/tests/success_and_news.rs
@@ -39,11 +39,11 @@
     all
 }
 
-fn tell(pair: &mut Pair, told: Told) {
+fn tell(pair: &mut Pair, told: AttemptOutcome) {
     let offer = &pair.offers[0];
     let (id, stage, epoch, attempt) = (offer.head.id.clone(), offer.stage, offer.epoch, offer.attempt);
-    let one = Settled { place: place(), id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
-    pair.step(0, Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![one] } });
+    let one = AttemptResult { place: place(), id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
+    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } });
 }
 
 fn change(pair: &mut Pair, change: Change) {
@@ -51,8 +51,8 @@
     match change {
         Change::NewLife => pair.reach(SECOND, now),
         Change::LateRoom => pair.reach(FIRST, now),
-        Change::ToldAgain => tell(pair, Told::Success),
-        Change::LateDoubt => tell(pair, Told::Doubt),
+        Change::ToldAgain => tell(pair, AttemptOutcome::Success),
+        Change::LateDoubt => tell(pair, AttemptOutcome::Unknown),
         Change::Time => pair.run(Span::secs(4)),
     }
 }
@@ -65,7 +65,7 @@
         pair.carry();
         pair.run(Span::millis(100));
         assert_eq!(pair.offers.len(), 1);
-        tell(&mut pair, Told::Success);
+        tell(&mut pair, AttemptOutcome::Success);
         for one in &order {
             change(&mut pair, *one);
             pair.run(Span::millis(300));
--- a/crates/waitlist/tests/trio/mod.rs
+++ b/crates/waitlist/tests/trio/mod.rs
@@ -13,12 +13,12 @@
     daemon(&format!("store-{n}"))
 }
 
-pub fn place() -> Place {
-    Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
+pub fn place() -> PartitionId {
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
 }
 
 pub fn numbered(n: u64) -> Member {
-    Member { disk: Mark(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
+    Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
 }
 
 pub fn settings_of(n: u64) -> Startup {
@@ -43,9 +43,9 @@
     /// Attempts handed out.
     pub offers: Vec<Offer>,
     /// What a seeker was last shown.
-    pub shown: Option<Found>,
+    pub shown: Option<LookupResult>,
     /// Told to the proxy, by ask.
-    pub told: BTreeMap<u64, Carried>,
+    pub told: BTreeMap<u64, SubmitOutcome>,
     /// The latest report of each store.
     pub reports: BTreeMap<Daemon, Report>,
 }
@@ -67,7 +67,7 @@
             reports: BTreeMap::new(),
         };
         for n in 1..=3 {
-            let (core, out) = Store::new(settings_of(n), &Vec::new(), Mark(n), fleet.now);
+            let (core, out) = Store::new(settings_of(n), &Vec::new(), IncarnationId(n), fleet.now);
             fleet.stores.insert(store(n), core);
             fleet.disks.insert(store(n), Disk::default());
             fleet.obey(&store(n), out);
@@ -98,35 +98,35 @@
         self.queue.push_back((store(n), Event::DiskStuck(false)));
     }
 
-    pub fn news(&self, asked: Time, to: &Daemon) -> Msg {
+    pub fn news(&self, asked: Time, to: &Daemon) -> PeerMessage {
         let version = |count| Version { term: TERM, count };
         let epoch = Epoch { term: TERM, count: self.epoch };
-        let placing = Placing { keeper: store(self.keeper), epoch };
+        let placing = PartitionLocation { keeper: store(self.keeper), epoch };
         let items = vec![
-            (version(1), Item::Charter(CHARTER.to_string())),
-            (version(1), Item::Members((1..=3).map(numbered).collect())),
-            (version(self.epoch), Item::Places(vec![(place(), placing)])),
+            (version(1), Update::Charter(CHARTER.to_string())),
+            (version(1), Update::Members((1..=3).map(numbered).collect())),
+            (version(self.epoch), Update::Partitions(vec![(place(), placing)])),
         ];
-        let set = (1..=3).map(|n| (store(n), Mark(n))).collect();
+        let set = (1..=3).map(|n| (store(n), IncarnationId(n))).collect();
         let grant =
             Grant { duty: Duty::Keep(place()), epoch, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None };
         let grants = if *to == store(self.keeper) { vec![grant] } else { Vec::new() };
-        Msg::News { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
+        PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
     }
 
     pub fn obey(&mut self, from: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(to, msg) if self.stores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::Hear { from: from.clone(), msg }));
+                Effect::Send(to, msg) if self.stores.contains_key(&to) => {
+                    self.queue.push_back((to, Event::MessageReceived { from: from.clone(), msg }));
                 }
-                Effect::Say(_, Msg::Carried { ask, word, .. }) => _ = self.told.insert(ask, word),
-                Effect::Say(_, Msg::Offers { all, .. }) => self.offers.extend(all),
-                Effect::Say(_, Msg::Peeked { found, .. }) => self.shown = Some(found),
-                Effect::Say(to, Msg::Noted { all }) => {
+                Effect::Send(_, PeerMessage::SubmitResponse { ask, word, .. }) => _ = self.told.insert(ask, word),
+                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.offers.extend(all),
+                Effect::Send(_, PeerMessage::LookupResponse { found, .. }) => self.shown = Some(found),
+                Effect::Send(to, PeerMessage::ResultsRecorded { all }) => {
                     self.noted.extend(all.into_iter().map(|(_, _, attempt)| (to.clone(), attempt)));
                 }
-                Effect::Say(to, Msg::Need { asked, report: Some(report), .. }) => {
+                Effect::Send(to, PeerMessage::Pull { asked, report: Some(report), .. }) => {
                     let given = report.gave.iter().any(|(_, epoch)| epoch.count == self.epoch);
                     self.reports.insert(from.clone(), report);
                     if given {
@@ -134,7 +134,7 @@
                         self.keeper = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.keeper);
                     }
                     let msg = self.news(asked, from);
-                    self.queue.push_back((from.clone(), Event::Hear { from: to, msg }));
+                    self.queue.push_back((from.clone(), Event::MessageReceived { from: to, msg }));
                 }
                 Effect::Save { n, .. } => match &mut self.disks.get_mut(from).unwrap().waiting {
                     Some(waiting) => waiting.push(n),
@@ -169,7 +169,7 @@
             self.settle();
             self.now += STEP;
             for n in 1..=3 {
-                self.queue.push_back((store(n), Event::Clock));
+                self.queue.push_back((store(n), Event::Tick));
             }
         }
         self.settle();
@@ -177,7 +177,7 @@
 
     pub fn carry(&mut self, ask: u64, to: u64) {
         let body = Bytes::from(format!("body of {ask}"));
-        let head = Head {
+        let head = MessageHeader {
             id: MessageId(format!("m{ask}")),
             key: String::new(),
             seq: 0,
@@ -191,8 +191,8 @@
             delay: Span::ZERO,
             seal: String::new(),
         };
-        let reading = Some(Reading { life: Mark(1), at: self.now });
-        let msg = Msg::Carry {
+        let reading = Some(ClockReading { life: IncarnationId(1), at: self.now });
+        let msg = PeerMessage::Submit {
             ask,
             proxy: daemon("proxy-1"),
             via: None,
@@ -201,14 +201,14 @@
             version: Version { term: TERM, count: 1 },
             head,
             body,
-            stamp: Some(Stamp { reading, age: Span::ZERO }),
+            stamp: Some(AgeBound { reading, age: Span::ZERO }),
             refuse: None,
         };
-        self.queue.push_back((store(to), Event::Hear { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((store(to), Event::MessageReceived { from: daemon("proxy-1"), msg }));
         self.settle();
     }
 
     pub fn accepted(&self, ask: u64) -> bool {
-        matches!(self.told.get(&ask), Some(Carried::Accepted { .. }))
+        matches!(self.told.get(&ask), Some(SubmitOutcome::Accepted { .. }))
     }
 }
--- a/crates/wire/src/copy.rs
+++ b/crates/wire/src/copy.rs
@@ -30,11 +30,11 @@
     /// source no longer keeps the operations since the position asked from.
     pub from: Option<CopyPosition>,
     /// Operations since then on records up to there, in order.
-    pub ops: Vec<Op>,
+    pub ops: Vec<PartitionOp>,
     /// Bytes that were asked for, of those records that still have them.
     pub bodies: Vec<(MessageId, Bytes)>,
     /// The next records, by name, without their bytes.
-    pub records: Vec<(Head, Stage)>,
+    pub records: Vec<(MessageHeader, Stage)>,
     /// The operation at which all of this stands.
     pub n: u64,
     /// The next place in the partition's order.
--- a/crates/wire/tests/offer.rs
+++ b/crates/wire/tests/offer.rs
@@ -3,10 +3,10 @@
 
 fn offer(limit: Span) -> Offer {
     Offer {
-        duty: Duty::Reach(String::new()),
-        place: Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 },
-        head: Head::default(),
-        stage: Stage::Work,
+        duty: Duty::TargetShard(String::new()),
+        place: PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 },
+        head: MessageHeader::default(),
+        stage: Stage::Pending,
         epoch: Epoch::ZERO,
         attempt: 1,
         body: Bytes::new(),
--- a/programs/src/fleet/soak.rs
+++ b/programs/src/fleet/soak.rs
@@ -137,8 +137,8 @@
 /// What the daemons' logs tell of their own invariants: each line of an event
 /// that is always a fault.
 pub fn violations(folder: &Path) -> std::io::Result<Vec<String>> {
-    let events =
-        [Note::AttemptOutlived, Note::EndedHandedOut, Note::Stranded].map(|note| format!(" {} {}", note.number(), note.what()));
+    let events = [LogEvent::AttemptOverran, LogEvent::EndedMessageDequeued, LogEvent::StrandedMessageRequeued]
+        .map(|note| format!(" {} {}", note.number(), note.what()));
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
