--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -49,7 +49,7 @@
 impl Delivery {
     /// The time a hand needs to be begun at all.
     pub(super) fn least(&self, h: &Hand) -> Span {
-        match h.offer.goal {
+        match h.offer.destination {
             None => Span::millis(300),
             Some(_) => self.span_of(&h.offer) + SLACK,
         }
@@ -59,17 +59,17 @@
     /// is not in force.
     fn span_of(&self, o: &Offer) -> Span {
         let by_charter = match o.stage {
-            Stage::Pending => self.link.rules.routes.get(&o.head.route).map_or(Span::ZERO, |r| r.attempt),
+            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt),
             _ => CALLBACK_TIMEOUT,
         };
-        o.limited(by_charter)
+        o.attempt_timeout(by_charter)
     }
 
     /// Whether something is open under a duty of reach.
     pub(super) fn reaching(&self, duty: &Duty) -> bool {
         let under = |at: &Aim| match at {
-            Aim::Worker(w) => self.workers.get(w).is_none_or(|w| Duty::of_worker(&w.info.zone, &w.info.id) == *duty),
-            Aim::Address(a) => Duty::of_address(a) == *duty,
+            Aim::Worker(w) => self.workers.get(w).is_none_or(|w| Duty::for_worker(&w.info.zone, &w.info.id) == *duty),
+            Aim::Address(a) => Duty::for_unlisted_address(a) == *duty,
         };
         self.calls.values().any(|c| matches!(c, Called::Post { at, .. } if under(at)))
     }
@@ -85,12 +85,12 @@
         let old = std::mem::replace(&mut self.posts.held, held);
         let fresh: BTreeSet<&Duty> = self.posts.held.iter().filter(|(d, e)| old.get(d) != Some(e)).map(|x| x.0).collect();
         for (addr, site) in self.posts.sites.iter_mut() {
-            if fresh.contains(&Duty::of_address(addr)) {
+            if fresh.contains(&Duty::for_unlisted_address(addr)) {
                 site.pace = None;
             }
         }
         for w in self.workers.values_mut() {
-            if fresh.contains(&Duty::of_worker(&w.info.zone, &w.info.id)) {
+            if fresh.contains(&Duty::for_worker(&w.info.zone, &w.info.id)) {
                 w.cold_next = now + Span::millis(400);
             }
         }
@@ -109,7 +109,7 @@
     }
 
     fn may_reach(&self, w: &Fitness, now: Time) -> bool {
-        self.link.may(&Duty::of_worker(&w.info.zone, &w.info.id), now).is_some()
+        self.link.may(&Duty::for_worker(&w.info.zone, &w.info.id), now).is_some()
     }
 
     fn slots_of(&self, w: &Fitness) -> u32 {
@@ -146,7 +146,7 @@
         let mut addresses: Vec<Duty> = self.link.held.live(now).into_iter().map(|x| x.0).collect();
         addresses.retain(|d| !shut && matches!(d, Duty::TargetShard(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
-            if shut || self.link.may(&Duty::of_address(&s.address), now).is_none() {
+            if shut || self.link.may(&Duty::for_unlisted_address(&s.address), now).is_none() {
                 continue;
             }
             let room = match self.posts.sites.get(&s.address) {
@@ -156,7 +156,7 @@
             };
             services.insert(s.name.clone(), room);
         }
-        Some(RoutedCapacity { life: self.startup.me.life, services: services.into_iter().collect(), addresses })
+        Some(RoutedCapacity { incarnation: self.startup.me.incarnation, services: services.into_iter().collect(), addresses })
     }
 
     /// Calls open at once to a service's one address.
@@ -169,7 +169,7 @@
 
     /// Takes an offer of a routed message.
     pub(super) fn on_post(&mut self, id: HandId, goal: Destination, offer: Offer, asked: Time, now: Time) {
-        if self.hands.contains_key(&id) || !offer.head.sound(&offer.body) {
+        if self.hands.contains_key(&id) || !offer.header.matches(&offer.body) {
             return;
         }
         let span = self.span_of(&offer);
@@ -223,7 +223,7 @@
 
     /// Whether an address may be sent to now.
     fn may_address(&mut self, addr: &str, service: Option<&Service>, now: Time) -> bool {
-        if self.link.may(&Duty::of_address(addr), now).is_none() {
+        if self.link.may(&Duty::for_unlisted_address(addr), now).is_none() {
             return false;
         }
         let most = service.map_or(SITE_SLOTS, |s| self.site_most(s));
@@ -264,9 +264,9 @@
     fn start_post(&mut self, id: HandId, addr: String, at: Aim, now: Time) {
         let Some(h) = self.hands.get(&id) else { return };
         let span = self.span_of(&h.offer);
-        let (stage, seal, body) = (h.offer.stage, h.offer.head.seal.clone(), h.offer.body.clone());
-        let parcel = h.offer.head.parcel.clone();
-        let late = span == Span::ZERO || h.hard.left(now) < span + SLACK;
+        let (stage, seal, body) = (h.offer.stage, h.offer.header.completion_token.clone(), h.offer.body.clone());
+        let parcel = h.offer.header.caller_request.clone();
+        let late = span == Span::ZERO || h.hard.remaining(now) < span + SLACK;
         let (false, Some(parcel)) = (late, parcel) else { return self.finish(&id, AttemptOutcome::NotStarted, now) };
         let worker = match &at {
             Aim::Worker(w) => Some(w.clone()),
@@ -274,10 +274,12 @@
         };
         let errand = match stage {
             Stage::EndedAwaitingCallback(Outcome::Succeeded) => {
-                CallKind::Callback { parcel, standing: RoutedMessageStatus::Done(seal) }
+                CallKind::Callback { caller_request: parcel, message_status: RoutedMessageStatus::Done(seal) }
             }
-            Stage::EndedAwaitingCallback(_) => CallKind::Callback { parcel, standing: RoutedMessageStatus::Dead },
-            _ => CallKind::RunMessage { parcel, worker, span },
+            Stage::EndedAwaitingCallback(_) => {
+                CallKind::Callback { caller_request: parcel, message_status: RoutedMessageStatus::Dead }
+            }
+            _ => CallKind::RunMessage { caller_request: parcel, worker, timeout: span },
         };
         match &at {
             Aim::Worker(w) => {
@@ -297,7 +299,8 @@
                 }
             }
         }
-        let call = Call { post: true, addr, path: String::new(), headers: Vec::new(), body, limit: span + LATE, errand };
+        let call =
+            Call { is_post: true, addr, path: String::new(), headers: Vec::new(), body, timeout: span + LATE, kind: errand };
         let call = self.call(Called::Post { hand: id.clone(), at }, call);
         if let Some(h) = self.hands.get_mut(&id) {
             h.state = State::Running(call);
@@ -306,8 +309,8 @@
 
     pub(super) fn post_back(&mut self, id: HandId, at: Aim, reply: CallResult, now: Time) {
         let end = match &reply {
-            CallResult::RunFinished { end, .. } => end.clone(),
-            CallResult::Failed(SendState::NotSent) => RunOutcome::NotRun { gone: false },
+            CallResult::RunFinished { outcome: end, .. } => end.clone(),
+            CallResult::Failed(SendState::NotSent) => RunOutcome::NotRun { worker_gone: false },
             _ => RunOutcome::Unknown(UnknownOutcomeCause::CallFailed),
         };
         match &at {
@@ -328,7 +331,7 @@
 
     fn note_doubt(&mut self, id: &HandId, at: &Aim, cause: UnknownOutcomeCause) {
         let Some(hand) = self.hands.get(id) else { return };
-        let (place, head, attempt) = (&hand.offer.place, &hand.offer.head, hand.offer.attempt);
+        let (place, head, attempt) = (&hand.offer.partition, &hand.offer.header, hand.offer.attempt);
         let text = format!("{place} {} attempt {attempt} at {at}: {cause}", head.id);
         self.out.push(Effect::Log(LogEvent::AttemptOutcomeUnknown, text));
     }
@@ -336,13 +339,13 @@
     /// It did not run: another worker may take it at once.
     fn again(&mut self, id: HandId, now: Time) {
         let Some(h) = self.hands.get(&id) else { return };
-        let service = matches!(h.offer.goal, Some(Destination::Service(_)));
-        if !service || h.hard.left(now) < self.least(h) || self.leaving.is_some() {
+        let service = matches!(h.offer.destination, Some(Destination::Service(_)));
+        if !service || h.hard.remaining(now) < self.least(h) || self.leaving.is_some() {
             return self.finish(&id, AttemptOutcome::NotStarted, now);
         }
         let Some(h) = self.hands.get_mut(&id) else { return };
         h.state = State::Waiting;
-        let Some(goal) = h.offer.goal.clone() else { return };
+        let Some(goal) = h.offer.destination.clone() else { return };
         self.posts.lines.entry(goal).or_default().push_front(id);
     }
 
@@ -366,11 +369,11 @@
                     note = Some((LogEvent::WorkerEjected, id.to_string()));
                 }
             }
-            (_, RunOutcome::NotRun { gone: true }) => {
+            (_, RunOutcome::NotRun { worker_gone: true }) => {
                 f.gone = true;
                 note = Some((LogEvent::WorkerEjected, format!("{id} is not there any more")));
             }
-            (_, RunOutcome::NotRun { gone: false }) => f.full_until = now + FULL,
+            (_, RunOutcome::NotRun { worker_gone: false }) => f.full_until = now + FULL,
             _ => {
                 if f.down.pass() | f.sick.pass() {
                     note = Some((LogEvent::WorkerReadmitted, id.to_string()));
@@ -427,7 +430,7 @@
             }
             let limit = Span::millis(500);
             let (headers, body, errand) = (Vec::new(), Bytes::new(), CallKind::HealthCheck { path });
-            let call = Call { post: false, addr, path: String::new(), headers, body, limit, errand };
+            let call = Call { is_post: false, addr, path: String::new(), headers, body, timeout: limit, kind: errand };
             self.call(Called::Probe { worker }, call);
         }
     }
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -57,7 +57,7 @@
             }
             let room = self.room(&duty, now);
             let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
-            let one = Capacity { duty: duty.clone(), epoch, room, since };
+            let one = Capacity { duty: duty.clone(), epoch, capacity: room, held_for: since };
             for (keeper, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
                     Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.keeper == *keeper),
@@ -77,10 +77,19 @@
             let holding = self
                 .hands
                 .values()
-                .filter(|h| here.contains(&h.offer.place))
-                .map(|h| InFlightAttempt { place: h.offer.place.clone(), id: h.offer.head.id.clone() })
+                .filter(|h| here.contains(&h.offer.partition))
+                .map(|h| InFlightAttempt { partition: h.offer.partition.clone(), id: h.offer.header.id.clone() })
                 .collect();
-            self.say(&keeper, PeerMessage::Capacity { asked: now, duties, places, holding, reach: reach.clone() });
+            self.say(
+                &keeper,
+                PeerMessage::Capacity {
+                    requested_at: now,
+                    duties,
+                    partitions: places,
+                    in_flight: holding,
+                    routed: reach.clone(),
+                },
+            );
         }
     }
 }
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -44,7 +44,7 @@
     /// New cuts between the slices. A slot at a warming worker that comes over
     /// from another delivery counts as just used there.
     pub(super) fn learn_slices(&mut self, grants: &[Grant], now: Time) {
-        let next: BTreeMap<Duty, SlotRange> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slice?))).collect();
+        let next: BTreeMap<Duty, SlotRange> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slot_range?))).collect();
         if next == self.slices {
             return;
         }
@@ -85,7 +85,7 @@
         }
         let all: Vec<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         let at = all.iter().position(|d| **d == self.startup.me.id).unwrap_or(0) as u32;
-        let wide = SlotRange::WHOLE / self.peers();
+        let wide = SlotRange::FULL_WIDTH / self.peers();
         vec![SlotRange { from: at * wide, to: (at + 1) * wide }]
     }
 
@@ -154,13 +154,13 @@
                 w.asking = true;
             }
             let call = Call {
-                post: false,
+                is_post: false,
                 addr,
                 path: "/load".into(),
                 headers: Vec::new(),
                 body: Bytes::new(),
-                limit: Span::millis(800),
-                errand: CallKind::Plain,
+                timeout: Span::millis(800),
+                kind: CallKind::Plain,
             };
             self.call(Called::Load { worker }, call);
         }
--- a/crates/delivery/tests/answers_and_news.rs
+++ b/crates/delivery/tests/answers_and_news.rs
@@ -66,7 +66,7 @@
 
 fn answer(told: &mut Told) {
     let (call, _) = told.begun[0];
-    let done = CallResult::RunFinished { end: RunOutcome::Done("seal".into()), load: None };
+    let done = CallResult::RunFinished { outcome: RunOutcome::Done("seal".into()), load: None };
     told.step(Event::CallFinished(call, done));
 }
 
@@ -85,9 +85,9 @@
                 answer(&mut told);
             }
             told.run(Span::secs(1));
-            let ends: Vec<End> = told.settled.iter().map(|s| s.told).collect();
+            let ends: Vec<End> = told.settled.iter().map(|s| s.outcome).collect();
             assert!(!ends.is_empty() && ends.iter().all(|end| *end == End::Success), "{order:?}, {answered_after}: {ends:?}");
-            assert!(told.settled.iter().all(|s| s.seal == "seal"));
+            assert!(told.settled.iter().all(|s| s.completion_token == "seal"));
             assert_eq!(told.begun.len(), 1, "{order:?}, {answered_after}: it was begun again");
         }
     }
--- a/crates/delivery/tests/superseded.rs
+++ b/crates/delivery/tests/superseded.rs
@@ -49,6 +49,6 @@
     told.news(1, 2);
     told.run(Span::millis(600));
     told.offer_by("newer");
-    let unstarted = told.settled.iter().filter(|s| s.told == End::NotStarted).count();
+    let unstarted = told.settled.iter().filter(|s| s.outcome == End::NotStarted).count();
     assert_eq!((unstarted, told.begun.len()), (1, 0));
 }
--- a/crates/delivery/tests/told/mod.rs
+++ b/crates/delivery/tests/told/mod.rs
@@ -15,7 +15,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
 }
 
 fn epoch(count: u64) -> Epoch {
@@ -28,8 +28,8 @@
         zone: Zone("z1".into()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: IncarnationId(1),
-        disk: IncarnationId(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -104,10 +104,10 @@
     pub fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Call(id, call) if matches!(call.errand, CallKind::RunMessage { .. }) => self.begun.push((id, call)),
-                Effect::Send(_, PeerMessage::Pull { asked, .. }) => self.asked = asked,
-                Effect::Send(_, PeerMessage::Capacity { holding, .. }) => self.holding = holding,
-                Effect::Send(_, PeerMessage::AttemptResults { all }) => self.settled.extend(all),
+                Effect::Call(id, call) if matches!(call.kind, CallKind::RunMessage { .. }) => self.begun.push((id, call)),
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => self.asked = asked,
+                Effect::Send(_, PeerMessage::Capacity { in_flight: holding, .. }) => self.holding = holding,
+                Effect::Send(_, PeerMessage::AttemptResults { entries: all }) => self.settled.extend(all),
                 _ => {}
             }
         }
@@ -137,13 +137,28 @@
             (version, Update::Partitions(vec![(place(), placing)])),
             (version, Update::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
         ];
-        let duty = Duty::of_worker(&worker().zone, &worker().id);
+        let duty = Duty::for_worker(&worker().zone, &worker().id);
         let (set, swap_number) = (Vec::new(), Version::ZERO);
-        let grant = Grant { duty, epoch: epoch(1), set, swap: None, swap_number, shed: false, slice: None };
+        let grant = Grant {
+            duty,
+            epoch: epoch(1),
+            write_set: set,
+            replacement: None,
+            replacement_number: swap_number,
+            release_requested: false,
+            slot_range: None,
+        };
         let grants = known.granted.then_some(grant).into_iter().collect();
         let (asked, fresh) = (self.asked, Some(Span::secs(2)));
-        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh, items, grants, late: Vec::new() };
-        self.step(Event::MessageReceived { from: daemon("placement-1"), msg });
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: fresh,
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.step(Event::MessageReceived { from: daemon("placement-1"), message: msg });
     }
 
     fn worker(&self) -> Worker {
@@ -166,21 +181,21 @@
             crc: crc32(&body),
             len: body.len() as u32,
             route: route.into(),
-            parcel: Some(Box::default()),
+            caller_request: Some(Box::default()),
             ..MessageHeader::default()
         };
         let offer = Offer {
             duty: Duty::TargetShard(String::new()),
-            place: place(),
-            head,
+            partition: place(),
+            header: head,
             stage: Stage::Pending,
             epoch: epoch(1),
             attempt,
             body,
-            goal: Some(Destination::Service("sheets".into())),
-            limit: Span::secs(1),
+            destination: Some(Destination::Service("sheets".into())),
+            timeout: Span::secs(1),
         };
-        let msg = PeerMessage::Offers { asked: self.now, all: vec![offer] };
-        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
+        let msg = PeerMessage::Offers { requested_at: self.now, entries: vec![offer] };
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 }
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -15,7 +15,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 }
 }
 
 fn epoch() -> Epoch {
@@ -28,8 +28,8 @@
         zone: Zone("z1".into()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: IncarnationId(1),
-        disk: IncarnationId(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -90,7 +90,7 @@
     fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Send(_, PeerMessage::Pull { asked, .. }) => {
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => {
                     self.asked = asked;
                     self.tell();
                 }
@@ -120,10 +120,25 @@
             (version, Update::Workers(self.workers.iter().map(|w| worker(w)).collect())),
         ];
         let (duty, set, swap_number) = (Duty::Deliver(place()), Vec::new(), Version::ZERO);
-        let grant = Grant { duty, epoch: epoch(), set, swap: None, swap_number, shed: false, slice: None };
+        let grant = Grant {
+            duty,
+            epoch: epoch(),
+            write_set: set,
+            replacement: None,
+            replacement_number: swap_number,
+            release_requested: false,
+            slot_range: None,
+        };
         let (asked, fresh) = (self.asked, Some(Span::secs(2)));
-        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh, items, grants: vec![grant], late: Vec::new() };
-        self.step(Event::MessageReceived { from: daemon("placement-1"), msg });
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: fresh,
+            updates: items,
+            grants: vec![grant],
+            late_stores: Vec::new(),
+        };
+        self.step(Event::MessageReceived { from: daemon("placement-1"), message: msg });
     }
 
     fn run(&mut self, span: Span) {
@@ -139,17 +154,17 @@
         let head = MessageHeader { id: MessageId(format!("m{}", self.offered)), crc: crc32(b""), ..MessageHeader::default() };
         let offer = Offer {
             duty: Duty::Deliver(place()),
-            place: place(),
-            head,
+            partition: place(),
+            header: head,
             stage: Stage::Pending,
             epoch: epoch(),
             attempt: self.offered,
             body: Bytes::new(),
-            goal: None,
-            limit: Span::millis(1500),
+            destination: None,
+            timeout: Span::millis(1500),
         };
-        let msg = PeerMessage::Offers { asked: self.now, all: vec![offer] };
-        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
+        let msg = PeerMessage::Offers { requested_at: self.now, entries: vec![offer] };
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 
     fn count(&self, worker: &str) -> usize {
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -12,7 +12,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 1 }
 }
 
 fn startup() -> Startup {
@@ -22,8 +22,8 @@
         zone: Zone("z1".into()),
         addr: String::new(),
         http: String::new(),
-        life: IncarnationId(1),
-        disk: IncarnationId(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
     };
     Startup {
         me,
@@ -50,13 +50,13 @@
         seq: number,
         crc: crc32(&body),
         len: body.len() as u32,
-        desk: String::new(),
+        callback: String::new(),
         ttl: None,
         route: String::new(),
-        parcel: None,
-        born: 0,
+        caller_request: None,
+        accepted_unix_micros: 0,
         delay: Span::ZERO,
-        seal: String::new(),
+        completion_token: String::new(),
     };
     PartitionOp::Put(head, Stage::Pending, body)
 }
@@ -103,7 +103,9 @@
 
     fn hear(&mut self, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, upto, mark, .. }) = effect else { continue };
+            let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, up_to: upto, disk_id: mark, .. }) = effect else {
+                continue;
+            };
             self.acknowledged = self.acknowledged.max(*upto);
             self.mark = Some(*mark);
         }
@@ -119,11 +121,11 @@
         directory.power_for(1 + dice.below(120));
         if self.settle(directory, &folder, &mut store, effects) {
             let lag = PeerMessage::Lagging {
-                place: place(),
+                partition: place(),
                 epoch: EPOCH,
-                was: Some((Epoch::ZERO, 0)),
-                mark: store.mark,
-                short: false,
+                expected: Some((Epoch::ZERO, 0)),
+                disk_id: store.mark,
+                must_fetch: false,
             };
             let mut alive = self.tell(directory, &folder, &mut store, lag);
             while alive {
@@ -134,7 +136,7 @@
                 }
                 directory.full_for(dice.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
-                let append = PeerMessage::Append { place: place(), epoch: EPOCH, first, ops };
+                let append = PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops };
                 alive = self.tell(directory, &folder, &mut store, append);
             }
         }
@@ -159,7 +161,7 @@
     }
 
     fn tell(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, msg: PeerMessage) -> bool {
-        let effects = store.step(Event::MessageReceived { from: daemon("store-2"), msg }, Time(2));
+        let effects = store.step(Event::MessageReceived { from: daemon("store-2"), message: msg }, Time(2));
         self.settle(directory, folder, store, effects)
     }
 
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -102,10 +102,10 @@
             key,
             crc: crc32(&body),
             len: body.len() as u32,
-            desk: if route.call_back { desk } else { String::new() },
+            callback: if route.call_back { desk } else { String::new() },
             route: route.name.clone(),
-            parcel: Some(parcel),
-            born: self.wall(now),
+            caller_request: Some(parcel),
+            accepted_unix_micros: self.wall(now),
             delay,
             ..MessageHeader::default()
         };
--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -21,15 +21,22 @@
     let fresh = Some(Span::secs(60));
     // News counts only when it was asked for.
     p.step(Event::Tick, now);
-    let msg = PeerMessage::PullResponse { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
-    p.step(Event::MessageReceived { from: Daemon("agent-1".into()), msg }, now);
+    let msg = PeerMessage::PullResponse {
+        requested_at: now,
+        term: Term(1),
+        config_valid_for: fresh,
+        updates: items,
+        grants: Vec::new(),
+        late_stores: Vec::new(),
+    };
+    p.step(Event::MessageReceived { from: Daemon("agent-1".into()), message: msg }, now);
     p
 }
 
 /// The copies sent: their numbers, the stores, and the message's name.
 fn copies(out: &[Effect]) -> Vec<(u64, Daemon, MessageId)> {
     let one = |e: &Effect| match e {
-        Effect::Send(to, PeerMessage::Submit { ask, head, .. }) => Some((*ask, to.clone(), head.id.clone())),
+        Effect::Send(to, PeerMessage::Submit { request_id: ask, header: head, .. }) => Some((*ask, to.clone(), head.id.clone())),
         _ => None,
     };
     out.iter().filter_map(one).collect()
@@ -52,17 +59,23 @@
         ..CallerRequest::default()
     };
     let ask = ApiRequest::SubmitRouted {
-        parcel: Box::new(parcel),
+        caller_request: Box::new(parcel),
         delay: Span::ZERO,
-        desk: String::new(),
+        callback: String::new(),
         body: Bytes::from_static(b"b"),
     };
     p.step(Event::Request(RequestId(1), ask), now)
 }
 
 fn word(p: &mut Proxy, copy: &(u64, Daemon, MessageId), word: SubmitOutcome, now: Time) -> Vec<Effect> {
-    let msg = PeerMessage::SubmitResponse { ask: copy.0, proxy: Daemon("proxy-1".into()), via: None, word, clock: None };
-    p.step(Event::MessageReceived { from: copy.1.clone(), msg }, now)
+    let msg = PeerMessage::SubmitResponse {
+        request_id: copy.0,
+        proxy: Daemon("proxy-1".into()),
+        via: None,
+        outcome: word,
+        clock: None,
+    };
+    p.step(Event::MessageReceived { from: copy.1.clone(), message: msg }, now)
 }
 
 #[test]
@@ -81,7 +94,8 @@
 #[test]
 fn nor_after_another_copy_was_written_nowhere() {
     let now = Time::millis(1_000_000);
-    for last in [SubmitOutcome::NotLeader, SubmitOutcome::Rejected { why: "full".into(), after: Span::ZERO, code: 503 }] {
+    for last in [SubmitOutcome::NotLeader, SubmitOutcome::Rejected { reason: "full".into(), retry_after: Span::ZERO, code: 503 }]
+    {
         let mut p = proxy(now);
         let first = copies(&post(&mut p, "/a/1", "", now));
         // No word for a while: a second copy goes another way.
@@ -112,7 +126,8 @@
     let now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/a/1", "", now));
-    let out = word(&mut p, &first[0], SubmitOutcome::Rejected { why: "full".into(), after: Span::secs(1), code: 503 }, now);
+    let out =
+        word(&mut p, &first[0], SubmitOutcome::Rejected { reason: "full".into(), retry_after: Span::secs(1), code: 503 }, now);
     assert_eq!(told(&out), Some(503));
 }
 
@@ -183,15 +198,15 @@
         assert_eq!((told(&out), copies(&out).len()), (Some(503), 0));
     }
     // Its word ends that.
-    let reading = ClockReading { life: IncarnationId(7), at: now };
+    let reading = ClockReading { incarnation: IncarnationId(7), at: now };
     let clock = Some((keeper.clone(), reading));
     let msg = PeerMessage::SubmitResponse {
-        ask: probe[0].0,
+        request_id: probe[0].0,
         proxy: Daemon("proxy-1".into()),
         via: None,
-        word: SubmitOutcome::NotLeader,
+        outcome: SubmitOutcome::NotLeader,
         clock,
     };
-    p.step(Event::MessageReceived { from: keeper, msg }, now);
+    p.step(Event::MessageReceived { from: keeper, message: msg }, now);
     assert_eq!(copies(&post(&mut p, "/o/1", "k", now)).len(), 1);
 }
--- a/crates/ingest/tests/relay.rs
+++ b/crates/ingest/tests/relay.rs
@@ -15,7 +15,7 @@
     let version = Version { term: Term(1), count: 1 };
     let stores =
         [("store-1", "z1"), ("store-2", "z2"), ("store-3", "z1"), ("store-4", "z2"), ("store-5", "z3"), ("store-6", "z3")];
-    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), part: 0 };
+    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), number: 0 };
     let placing = PartitionLocation { keeper: Daemon("store-2".into()), epoch: version };
     let items = vec![
         (version, Update::Charter(CHARTER.into())),
@@ -24,8 +24,15 @@
     ];
     proxy.step(Event::Tick, now);
     let fresh = Some(Span::secs(60));
-    let news = PeerMessage::PullResponse { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
-    proxy.step(Event::MessageReceived { from: Daemon("agent-1".into()), msg: news }, now);
+    let news = PeerMessage::PullResponse {
+        requested_at: now,
+        term: Term(1),
+        config_valid_for: fresh,
+        updates: items,
+        grants: Vec::new(),
+        late_stores: Vec::new(),
+    };
+    proxy.step(Event::MessageReceived { from: Daemon("agent-1".into()), message: news }, now);
     proxy
 }
 
@@ -35,9 +42,9 @@
         waitlist: "w".into(),
         id: MessageId("m".into()),
         key: String::new(),
-        desk: String::new(),
+        callback: String::new(),
         ttl: None,
-        first: true,
+        declared_new: true,
         body: Bytes::from_static(b"b"),
     };
     Event::Request(RequestId(1), ask)
@@ -49,7 +56,7 @@
         waitlist: "w".into(),
         id: MessageId("m".into()),
         key: String::new(),
-        body: false,
+        with_body: false,
     };
     Event::Request(RequestId(2), ask)
 }
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -11,8 +11,8 @@
         zone,
         addr: "10.0.0.1:1".into(),
         http: String::new(),
-        life: IncarnationId(7),
-        disk: IncarnationId(0),
+        incarnation: IncarnationId(7),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -29,15 +29,15 @@
         if self.rules.spool > 0 {
             let members = self.hard.members.values().map(|m| &m.zone);
             let zones: BTreeSet<&Zone> = members.chain(self.list.workers.iter().map(|w| &w.zone)).collect();
-            all.extend(Duty::of_addresses());
-            all.extend(zones.into_iter().flat_map(Duty::of_zone));
+            all.extend(Duty::unlisted_address_shards());
+            all.extend(zones.into_iter().flat_map(Duty::worker_shards_in));
         }
         self.duties = all;
     }
     /// Whether a claim of this duty is to be believed. A zone need not be
     /// listed (yet), so that a take-over finds all that is held.
     pub(super) fn calls_for(&self, duty: &Duty) -> bool {
-        let part = || home_of(duty).is_some_and(|z| Duty::of_zone(&z).any(|d| d == *duty));
+        let part = || home_of(duty).is_some_and(|z| Duty::worker_shards_in(&z).any(|d| d == *duty));
         self.duties.contains(duty) || self.rules.spool > 0 && part()
     }
     /// The duties there are, with those of reach that anyone tells of.
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -226,14 +226,14 @@
         now: Time,
     ) {
         let Some(swap) = self.replacements.swap(place) else { return };
-        let current = report.swaps.contains(&(place.clone(), swap.number));
+        let current = report.replacement_numbers.contains(&(place.clone(), swap.number));
         if !current || swap.joiner != put.0 || swap.out == *keeper {
             return;
         }
         let out = swap.out.clone();
         let order = match out == put.0 {
-            true => Order::AddStore { place: place.clone(), put },
-            false => Order::ReplaceStore { place: place.clone(), out: out.clone(), put },
+            true => Order::AddStore { partition: place.clone(), added: put },
+            false => Order::ReplaceStore { partition: place.clone(), removed: out.clone(), added: put },
         };
         self.propose_once(reseat_key(place, &out), order, now);
     }
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -141,5 +141,5 @@
 }
 
 pub(super) fn later(why: &str) -> ApiResponse {
-    ApiResponse { after: Some(AGAIN), ..wrong(503, why) }
+    ApiResponse { retry_after: Some(AGAIN), ..wrong(503, why) }
 }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -7,24 +7,24 @@
     let primary = f.primary().unwrap();
     let me = member(name, "z1");
     let need = PeerMessage::Pull {
-        asked: f.now,
-        heard: (Term(0), Time(0)),
-        have: VersionVector::default(),
-        me: me.clone(),
+        requested_at: f.now,
+        last_answered: (Term(0), Time(0)),
+        held_versions: VersionVector::default(),
+        member: me.clone(),
         report: None,
         reads_compressed,
     };
     let now = f.now;
-    let out = f.cores.get_mut(&primary).unwrap().step(Event::MessageReceived { from: me.id, msg: need }, now);
+    let out = f.cores.get_mut(&primary).unwrap().step(Event::MessageReceived { from: me.id, message: need }, now);
     let items = |effect| match effect {
-        Effect::Send(_, PeerMessage::PullResponse { items, .. }) => items,
+        Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) => items,
         _ => Vec::new(),
     };
     out.into_iter().flat_map(items).map(|(_, item)| item).collect()
 }
 
 fn charter_of(items: &[Update]) -> &Update {
-    items.iter().find(|item| item.source() == Topic::Charter).expect("a configuration")
+    items.iter().find(|item| item.topic() == Topic::Charter).expect("a configuration")
 }
 
 /// One with so many services.
@@ -72,11 +72,11 @@
     let agents = hard(&f).members.keys().filter(|d| d.kind() == DaemonKind::Agent).count();
     assert_eq!(agents, 2, "a new primary tells them that it is there");
     assert_eq!(hard(&f).members_version, version, "an agent's coming is news to nobody");
-    let sources = |items: &[Update]| items.iter().map(Update::source).collect::<BTreeSet<_>>();
+    let sources = |items: &[Update]| items.iter().map(Update::topic).collect::<BTreeSet<_>>();
     for name in ["agent-1", "store-1"] {
         let items = told(&mut f, name, true);
         assert!(!sources(&items).contains(&Topic::Workers), "{name}: {items:?}");
-        let Some(Update::Members(members)) = items.iter().find(|item| item.source() == Topic::Members) else { panic!() };
+        let Some(Update::Members(members)) = items.iter().find(|item| item.topic() == Topic::Members) else { panic!() };
         assert!(members.iter().all(|m| matches!(m.id.kind(), DaemonKind::Store | DaemonKind::Delivery)), "{members:?}");
     }
 }
@@ -87,7 +87,7 @@
     f.add("agent-1", "z1");
     f.run(2_000);
     let before = f.cores[&f.primary().unwrap()].election.commit();
-    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.life = IncarnationId(99);
+    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.incarnation = IncarnationId(99);
     f.run(2_000);
     assert_eq!(f.cores[&f.primary().unwrap()].election.commit(), before, "nothing is decided by its life");
 }
--- a/crates/placement/tests/departure.rs
+++ b/crates/placement/tests/departure.rs
@@ -72,7 +72,7 @@
     f.until(2_000, |f| swaps(f) == 6);
     let mut fake = f.fakes.remove(&daemon("store-1")).unwrap();
     f.run(600);
-    fake.me.life = IncarnationId(2);
+    fake.me.incarnation = IncarnationId(2);
     fake.stopping = false;
     f.fakes.insert(daemon("store-1"), fake);
     f.until(1_500, |f| swaps(f) == 0);
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -75,8 +75,8 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: format!("{name}:80"),
-        life: IncarnationId(1),
-        disk: disk_of(name),
+        incarnation: IncarnationId(1),
+        disk_id: disk_of(name),
         machine: format!("machine-of-{name}"),
     }
 }
@@ -212,9 +212,9 @@
                     if let Some((_, bytes)) = self.metered.as_mut().filter(|metered| metered.0 == to) {
                         *bytes += encode(&msg).len();
                     }
-                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), msg }));
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message: msg }));
                 }
-                Effect::Send(to, PeerMessage::PullResponse { asked, term, items, grants, .. }) => {
+                Effect::Send(to, PeerMessage::PullResponse { requested_at: asked, term, updates: items, grants, .. }) => {
                     self.news(&to, asked, term, items, grants)
                 }
                 Effect::Send(to, PeerMessage::Departure { wait, .. }) => {
@@ -244,19 +244,19 @@
         let Some(f) = self.fakes.get_mut(to) else { return };
         f.heard = (term, asked);
         for (v, item) in items {
-            if f.have.raise(item.source(), v) {
+            if f.have.advance(item.topic(), v) {
                 f.news.push(item);
             }
         }
         let end = Terms::default().holder_end(asked);
-        f.shed = grants.iter().filter(|g| g.shed).map(|g| g.duty.clone()).collect();
+        f.shed = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
         }
         for g in grants {
             if let Duty::Keep(place) = &g.duty {
-                match &g.swap {
-                    Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.swap_number)),
+                match &g.replacement {
+                    Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.replacement_number)),
                     None => f.swaps.remove(place),
                 };
             }
@@ -281,8 +281,8 @@
         if f.stopping {
             f.gave.extend(std::mem::take(&mut f.held).into_iter().map(|(duty, held)| (duty, held.0)));
         }
-        let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, checkpoint: false });
-        let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, checkpoint: true });
+        let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, from_checkpoint: false });
+        let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, from_checkpoint: true });
         let claims = memory.chain(folder).collect();
         let kept: BTreeSet<&PartitionId> =
             f.held.keys().filter_map(|d| if let Duty::Keep(p) = d { Some(p) } else { None }).collect();
@@ -292,25 +292,25 @@
         let whole = copied.map(|(place, s)| (place.clone(), s.1.clone(), disk_of(s.1.as_str()))).collect();
         let report = Report {
             claims,
-            gave: f.gave.clone(),
-            unheard: f.unheard.clone(),
-            whole,
-            swaps,
+            released: f.gave.clone(),
+            unreachable_holders: f.unheard.clone(),
+            complete_copies: whole,
+            replacement_numbers: swaps,
             leaving: f.stopping,
             stopping: f.stopping,
             ..Report::default()
         };
         let need = |f: &Fake| PeerMessage::Pull {
-            asked: now,
-            heard: f.heard,
-            have: f.have.clone(),
-            me: f.me.clone(),
+            requested_at: now,
+            last_answered: f.heard,
+            held_versions: f.have.clone(),
+            member: f.me.clone(),
             report: Some(report.clone()),
             reads_compressed: false,
         };
         let msg = need(f);
         for core in self.cores.keys().filter(|d| !self.cut.contains(*d)) {
-            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), msg: msg.clone() }));
+            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), message: msg.clone() }));
         }
     }
     pub fn step(&mut self, id: &Daemon, event: Event) {
@@ -367,10 +367,10 @@
         self.told.get(&n).cloned().expect("a verdict")
     }
     pub fn put(&mut self, base: u64, json: &Value) -> ApiResponse {
-        self.ask(ApiRequest::Revise { base, json: json.to_string(), patch: false })
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: false })
     }
     pub fn patch(&mut self, base: u64, json: &Value) -> ApiResponse {
-        self.ask(ApiRequest::Revise { base, json: json.to_string(), patch: true })
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: true })
     }
     /// Who holds each duty of reach, by their own word.
     pub fn reaches(&self) -> BTreeMap<Duty, Daemon> {
@@ -387,7 +387,7 @@
     }
     pub fn holders(&self, zone: &str) -> Vec<Daemon> {
         let all = self.reaches();
-        Duty::of_zone(&Zone(zone.into())).filter_map(|d| all.get(&d).cloned()).collect()
+        Duty::worker_shards_in(&Zone(zone.into())).filter_map(|d| all.get(&d).cloned()).collect()
     }
     /// Loses a placement core with its memory; its folder stays.
     pub fn kill(&mut self, id: &Daemon) {
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -6,7 +6,7 @@
 const MANY: u64 = 300;
 
 fn revise(base: u64, words: &str) -> ApiRequest {
-    ApiRequest::Revise { base, json: words.to_string(), patch: false }
+    ApiRequest::Revise { base, json: words.to_string(), is_patch: false }
 }
 
 fn routed(revision: u64, prefix: &str) -> Value {
@@ -14,7 +14,7 @@
 }
 
 fn zone(empty: bool) -> ApiRequest {
-    ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, sure: true }
+    ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, force: true }
 }
 
 /// A configuration that starts with `token`, so that its hash may be chosen.
@@ -115,7 +115,7 @@
     let at = f.primary().unwrap();
     let words = json!({"revision": 9, "routes": [route("r-b", "/b/")]}).to_string();
     for n in [901, 902] {
-        f.step_alone(&at, Event::Request(RequestId(n), ApiRequest::Revise { base: 7, json: words.clone(), patch: true }));
+        f.step_alone(&at, Event::Request(RequestId(n), ApiRequest::Revise { base: 7, json: words.clone(), is_patch: true }));
     }
     f.drain();
     f.run(300);
@@ -132,7 +132,7 @@
     let apply = |f: &Fleet, doc: &str| {
         let base = f.cores[&f.primary().unwrap()].hard.charter_version.to_string();
         let json = json!({"revision": 9, "doc": doc}).to_string();
-        ApiRequest::Apply(ApplyRequest { op: "op-1".into(), base, json, patch: true })
+        ApiRequest::Apply(ApplyRequest { operation_id: "op-1".into(), base, json, is_patch: true })
     };
     let one = apply(&f, "one");
     assert_eq!(f.ask(one.clone()).code, 200);
@@ -151,7 +151,7 @@
         core.hard.operations.incomplete_below(9);
     }
     let v = f.put(0, &first());
-    assert_eq!((v.code, v.after), (503, Some(Span::millis(300))), "{}", v.json);
+    assert_eq!((v.code, v.retry_after), (503, Some(Span::millis(300))), "{}", v.json);
     assert_eq!(f.put(7, &routed(9, "/b/")).code, 503);
     assert_eq!(f.patch(7, &json!({"revision": 9, "doc": "part"})).code, 503);
     assert_eq!(f.put(7, &second).code, 200);
@@ -177,14 +177,14 @@
     // What waited at its sockets comes before its own clock event.
     let store = f.fakes.values().next().unwrap().me.clone();
     let need = PeerMessage::Pull {
-        asked: f.now,
-        heard: (Term(1), f.now),
-        have: VersionVector::default(),
-        me: store.clone(),
+        requested_at: f.now,
+        last_answered: (Term(1), f.now),
+        held_versions: VersionVector::default(),
+        member: store.clone(),
         report: Some(Report::default()),
         reads_compressed: false,
     };
-    let out = frozen.step(Event::MessageReceived { from: store.id.clone(), msg: need }, f.now);
+    let out = frozen.step(Event::MessageReceived { from: store.id.clone(), message: need }, f.now);
     assert!(!out.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::PullResponse { .. }))), "{out:?}");
     let asks = [ApiRequest::CharterShow, revise(0, &first().to_string()), revise(7, &routed(12, "/b/").to_string()), zone(false)];
     for ask in asks {
--- a/crates/placement/tests/pages.rs
+++ b/crates/placement/tests/pages.rs
@@ -30,7 +30,7 @@
     let before = f.calls.len();
     f.until(20_000, |f| f.calls.len() > before);
     let (at, who, id, call) = f.calls[before].clone();
-    let CallKind::WorkerList { page } = call.errand else { panic!("{:?}", call.errand) };
+    let CallKind::WorkerList { page } = call.kind else { panic!("{:?}", call.kind) };
     f.step_alone(&who, Event::CallFinished(id, reply));
     (at, page)
 }
@@ -54,7 +54,7 @@
     let asked = f.calls.last().unwrap().3.clone();
     assert_eq!((asked.addr.as_str(), asked.path.as_str()), ("platform:80", "/instances"));
     let (_, who, id, call) = f.calls.last().unwrap().clone();
-    assert_eq!(call.errand, CallKind::WorkerList { page: Some("p-2".into()) });
+    assert_eq!(call.kind, CallKind::WorkerList { page: Some("p-2".into()) });
     f.step_alone(&who, Event::CallFinished(id, page(&[worker("i-2", 0)], None)));
     let all = lists(&mut f);
     assert_eq!(ids(&all[0]), ["i-1", "i-2", "i-3"]);
@@ -80,7 +80,7 @@
     for bad in failures {
         assert_eq!(turn(&mut f, page(&[worker("i-2", 0)], Some("p-2"))).1, None);
         let (_, who, id, call) = f.calls.last().unwrap().clone();
-        assert_eq!(call.errand, CallKind::WorkerList { page: Some("p-2".into()) });
+        assert_eq!(call.kind, CallKind::WorkerList { page: Some("p-2".into()) });
         f.step_alone(&who, Event::CallFinished(id, bad));
         assert_eq!(lists(&mut f).len(), 1);
     }
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -28,7 +28,7 @@
     assert!(at_home(&f), "{:?}", f.reaches());
     let all = f.reaches();
     for n in 1..=3 {
-        let mine = Duty::of_addresses().filter(|d| all[d] == daemon(&format!("delivery-{n}"))).count();
+        let mine = Duty::unlisted_address_shards().filter(|d| all[d] == daemon(&format!("delivery-{n}"))).count();
         assert!((2..=3).contains(&mine), "delivery-{n} has {mine}");
     }
     let primary = f.primary().unwrap();
@@ -60,7 +60,7 @@
     for _ in 0..40 {
         f.run(50);
         let shed: Vec<Duty> = f.fakes.values().flat_map(|x| x.shed.iter().cloned()).collect();
-        assert!(shed.iter().all(|d| Duty::of_addresses().any(|a| a == *d)), "{shed:?}");
+        assert!(shed.iter().all(|d| Duty::unlisted_address_shards().any(|a| a == *d)), "{shed:?}");
         assert!(shed.len() <= 1, "{shed:?}");
     }
     // Two at a time.
@@ -156,7 +156,7 @@
 #[test]
 fn cut_apart_from_a_store_a_duty_moves_and_does_not_swing_back_and_forth() {
     let mut f = routed();
-    let duty = Duty::of_zone(&Zone("z2".into())).next().unwrap();
+    let duty = Duty::worker_shards_in(&Zone("z2".into())).next().unwrap();
     let mut moves = 0;
     let mut last = f.reaches().get(&duty).cloned();
     // Two minutes in which store-1 and delivery-2 do not reach each other.
--- a/crates/placement/tests/replacement.rs
+++ b/crates/placement/tests/replacement.rs
@@ -12,7 +12,7 @@
 
 /// The daemon comes back with its disk, in a new life.
 fn return_with_disk(f: &mut Fleet, mut fake: Fake) {
-    fake.me.life = IncarnationId(fake.me.life.0 + 1);
+    fake.me.incarnation = IncarnationId(fake.me.incarnation.0 + 1);
     fake.held.clear();
     fake.swaps.clear();
     f.fakes.insert(fake.me.id.clone(), fake);
@@ -114,17 +114,17 @@
         let places: Vec<PartitionId> = fake.swaps.keys().cloned().collect();
         let whole = places.iter().map(|p| (p.clone(), daemon("store-4"), disk_of("store-4"))).collect();
         let swaps = places.iter().map(|p| (p.clone(), old[p])).collect();
-        let report = Report { whole, swaps, ..Report::default() };
+        let report = Report { complete_copies: whole, replacement_numbers: swaps, ..Report::default() };
         let heard = (f.cores[&primary].election.term(), f.now);
         let msg = PeerMessage::Pull {
-            asked: f.now,
-            heard,
-            have: VersionVector::default(),
-            me: fake.me.clone(),
+            requested_at: f.now,
+            last_answered: heard,
+            held_versions: VersionVector::default(),
+            member: fake.me.clone(),
             report: Some(report),
             reads_compressed: false,
         };
-        f.step(&primary, Event::MessageReceived { from: keeper, msg });
+        f.step(&primary, Event::MessageReceived { from: keeper, message: msg });
     }
     assert_eq!((seats(&f, "store-1"), seats(&f, "store-4")), (6, 0));
     copying(&mut f, true);
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -111,7 +111,7 @@
     f.run(2_000);
     f.add("store-1", "z1");
     let fresh = &mut f.fakes.get_mut(&daemon("store-1")).unwrap().me;
-    (fresh.machine, fresh.disk, fresh.life) = ("another".to_string(), IncarnationId(77), IncarnationId(9));
+    (fresh.machine, fresh.disk_id, fresh.incarnation) = ("another".to_string(), IncarnationId(77), IncarnationId(9));
     f.run(2_000);
     assert_eq!(told(&mut f, "another").0, 404);
     assert!(!f.cores[&f.primary().unwrap()].hard.retiring.contains_key(&daemon("store-1")));
--- a/crates/placement/tests/revision.rs
+++ b/crates/placement/tests/revision.rs
@@ -23,7 +23,7 @@
     let mut f = Fleet::new();
     f.until(8_000, |f| f.primary().is_some());
     let v = f.put(0, &first());
-    assert_eq!((v.code, v.after), (503, Some(Span::millis(300))), "{}", v.json);
+    assert_eq!((v.code, v.retry_after), (503, Some(Span::millis(300))), "{}", v.json);
     f.stores(4);
     f.run(1_500);
     assert_eq!(f.put(0, &first()).code, 200);
@@ -99,7 +99,7 @@
 fn a_repeat_while_the_first_is_under_way_shares_its_end() {
     let mut f = Fleet::whole();
     let at = f.primary().unwrap();
-    let order = || ApiRequest::Revise { base: 0, json: first().to_string(), patch: false };
+    let order = || ApiRequest::Revise { base: 0, json: first().to_string(), is_patch: false };
     // No word of the group travels between the two.
     f.step_alone(&at, Event::Request(RequestId(901), order()));
     f.step_alone(&at, Event::Request(RequestId(902), order()));
@@ -119,8 +119,8 @@
     let at = f.primary().unwrap();
     let one = charter(9, &[route("r-a", "/a/")]).to_string();
     let two = json!({"revision": 8, "routes": [route("r-b", "/b/")]}).to_string();
-    f.step_alone(&at, Event::Request(RequestId(901), ApiRequest::Revise { base: 7, json: one, patch: false }));
-    f.step_alone(&at, Event::Request(RequestId(902), ApiRequest::Revise { base: 7, json: two, patch: true }));
+    f.step_alone(&at, Event::Request(RequestId(901), ApiRequest::Revise { base: 7, json: one, is_patch: false }));
+    f.step_alone(&at, Event::Request(RequestId(902), ApiRequest::Revise { base: 7, json: two, is_patch: true }));
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 409));
@@ -138,7 +138,7 @@
             f.cut.insert(d);
         }
     }
-    let n = f.send(&at, ApiRequest::Revise { base: 7, json: charter(9, &[route("r-a", "/a/")]).to_string(), patch: false });
+    let n = f.send(&at, ApiRequest::Revise { base: 7, json: charter(9, &[route("r-a", "/a/")]).to_string(), is_patch: false });
     f.run(300);
     assert!(!f.told.contains_key(&n));
     f.run(5_000);
@@ -192,12 +192,12 @@
     );
     assert_eq!(paths(&v), ["routes[0].service", "routes[1].attempt_ms", "routes[1].prefix", "revision"]);
     for text in ["", "{", "[]", "null", "7", "{\"revision\": 9, \"routes\": [{\"name\": \"x\"}"] {
-        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), patch: false });
+        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), is_patch: false });
         assert_eq!(v.code, 400, "{text}: {}", v.json);
-        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), patch: true });
+        let v = f.ask(ApiRequest::Revise { base: 7, json: text.into(), is_patch: true });
         assert_eq!(v.code, 400, "{text}: {}", v.json);
     }
-    let v = f.ask(ApiRequest::Revise { base: 7, json: format!("{{\"doc\": \"{}\"}}", "x".repeat(9 << 20)), patch: false });
+    let v = f.ask(ApiRequest::Revise { base: 7, json: format!("{{\"doc\": \"{}\"}}", "x".repeat(9 << 20)), is_patch: false });
     assert_eq!(v.code, 413);
     assert_eq!(f.committed(), at);
     assert_eq!(shown(&mut f), before);
@@ -268,20 +268,20 @@
     let (at, other) = (f.primary().unwrap(), f.standby());
     let asks = [
         ApiRequest::CharterShow,
-        ApiRequest::Revise { base: 0, json: first().to_string(), patch: false },
-        ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, sure: true },
+        ApiRequest::Revise { base: 0, json: first().to_string(), is_patch: false },
+        ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, force: true },
         ApiRequest::RetireStore { store: daemon("store-1") },
     ];
     for ask in asks {
         let n = f.send(&other, ask);
         let v = &f.told[&n];
-        assert_eq!((v.code, v.elsewhere.clone()), (503, Some(format!("{at}:80"))));
+        assert_eq!((v.code, v.redirect_to.clone()), (503, Some(format!("{at}:80"))));
     }
     // Cut off, the old primary does not send callers to itself.
     f.cut.insert(at.clone());
     f.run(2_500);
     let n = f.send(&at, ApiRequest::CharterShow);
-    assert_eq!((f.told[&n].code, f.told[&n].elsewhere.clone()), (503, None));
+    assert_eq!((f.told[&n].code, f.told[&n].redirect_to.clone()), (503, None));
 }
 
 #[test]
@@ -297,7 +297,7 @@
 #[test]
 fn zones_that_are_sure_are_acknowledged_whatever_stands() {
     let mut f = Fleet::whole();
-    let zone = |z: &str, empty| ApiRequest::SetZoneEmpty { zone: z.into(), empty, sure: true };
+    let zone = |z: &str, empty| ApiRequest::SetZoneEmpty { zone: z.into(), empty, force: true };
     for z in ["z1", "z2", "z3", "nowhere"] {
         assert_eq!(f.ask(zone(z, true)).code, 200, "{z}");
     }
@@ -312,15 +312,15 @@
     assert_eq!(f.ask(zone("z1", false)).code, 200);
     assert_eq!(f.committed(), at + 1);
     // Without `sure`, the last zone with work is kept and names are checked.
-    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "nowhere".into(), empty: true, sure: false }).code, 404);
-    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, sure: false }).code, 409);
+    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "nowhere".into(), empty: true, force: false }).code, 404);
+    assert_eq!(f.ask(ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, force: false }).code, 409);
 }
 
 #[test]
 fn a_restoring_told_while_the_emptying_is_under_way_is_not_lost() {
     let mut f = Fleet::whole();
     let at = f.primary().unwrap();
-    let zone = |empty| ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, sure: true };
+    let zone = |empty| ApiRequest::SetZoneEmpty { zone: "z1".into(), empty, force: true };
     f.step_alone(&at, Event::Request(RequestId(901), zone(true)));
     f.step_alone(&at, Event::Request(RequestId(902), zone(false)));
     f.drain();
--- a/crates/scale/src/axes/changes.rs
+++ b/crates/scale/src/axes/changes.rs
@@ -36,8 +36,12 @@
             let ends: Vec<_> =
                 (0..size.min(n)).map(|i| json!({"name": format!("destination-{i:07}"), "allowance": 20 + turn})).collect();
             let base = f.status(&primary)["charter"].as_str().unwrap_or_default().to_string();
-            let charge =
-                ApplyRequest { op: format!("scale-{turn}"), base, json: json!({ "endpoints": ends }).to_string(), patch: true };
+            let charge = ApplyRequest {
+                operation_id: format!("scale-{turn}"),
+                base,
+                json: json!({ "endpoints": ends }).to_string(),
+                is_patch: true,
+            };
             let began = f.now;
             f.ask(&primary, RequestId(turn), ApiRequest::Apply(charge));
             f.run(Span::secs(3));
--- a/crates/scale/src/axes/frames.rs
+++ b/crates/scale/src/axes/frames.rs
@@ -62,11 +62,11 @@
             Some(())
         })
     });
-    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), part: 0 };
+    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), number: 0 };
     let body = Bytes::from(vec![7u8; len]);
     let say = || {
         let all = vec![(MessageId("event".into()), body.clone())];
-        let frame = one.frame(&to, PeerMessage::Bodies { place: place.clone(), epoch: Epoch::ZERO, all });
+        let frame = one.frame(&to, PeerMessage::Bodies { partition: place.clone(), epoch: Epoch::ZERO, entries: all });
         let sent = frame.is_some_and(|f| words.send(f).is_ok());
         sent && heard.recv_timeout(Duration::from_secs(2)).is_ok()
     };
--- a/crates/scale/src/axes/messages.rs
+++ b/crates/scale/src/axes/messages.rs
@@ -18,9 +18,9 @@
                 waitlist: Shape::list((n / tenants % lists) as usize),
                 id: MessageId(format!("event-{n:016}")),
                 key: format!("key-{:08}", n % 10_007),
-                desk: String::new(),
+                callback: String::new(),
                 ttl: None,
-                first: false,
+                declared_new: false,
                 body,
             };
             f.ask(&edges[n as usize % edges.len()].clone(), RequestId(1000 + n), ask);
--- a/crates/scale/src/axes/reports.rs
+++ b/crates/scale/src/axes/reports.rs
@@ -8,21 +8,22 @@
     let mut axis = Axis::new("reports", "entries of one kind in one frame", "one frame, written and read");
     let shape = Shape::default();
     let me = shape.member(&Daemon("delivery-00001".into()));
-    let place = |n: usize| PartitionId { tenant: format!("outside-{:06}", n / 50), waitlist: format!("to-{n:07}"), part: 0 };
+    let place = |n: usize| PartitionId { tenant: format!("outside-{:06}", n / 50), waitlist: format!("to-{n:07}"), number: 0 };
     let keeper = Daemon("store-00001".into());
     let epoch = Epoch { term: Term(7), count: 1_234_567 };
     for n in sizes(quick, &[10, 100, 1000, 10_000]) {
         let need = |report: Report| PeerMessage::Pull {
-            asked: Time(1 << 40),
-            heard: (Term(7), Time(1 << 40)),
-            have: VersionVector::default(),
-            me: me.clone(),
+            requested_at: Time(1 << 40),
+            last_answered: (Term(7), Time(1 << 40)),
+            held_versions: VersionVector::default(),
+            member: me.clone(),
             report: Some(report),
             reads_compressed: false,
         };
-        let claims: Vec<Claim> =
-            (0..n).map(|i| Claim { duty: Duty::Endpoint(format!("destination-{i:07}")), epoch, checkpoint: false }).collect();
-        let kept = (0..n).map(|i| Claim { duty: Duty::Keep(place(i)), epoch, checkpoint: false }).collect();
+        let claims: Vec<Claim> = (0..n)
+            .map(|i| Claim { duty: Duty::Endpoint(format!("destination-{i:07}")), epoch, from_checkpoint: false })
+            .collect();
+        let kept = (0..n).map(|i| Claim { duty: Duty::Keep(place(i)), epoch, from_checkpoint: false }).collect();
         let held = (0..n).map(|i| (place(i), 123_456)).collect();
         let seen = (0..n).map(|i| (Duty::Endpoint(format!("destination-{i:07}")), me.id.clone())).collect();
         let assigned = (0..n).map(|i| (place(i), keeper.clone())).collect();
@@ -31,19 +32,19 @@
         let grant = |duty: Duty, set: Vec<(Daemon, IncarnationId)>| Grant {
             duty,
             epoch,
-            set,
-            swap: None,
-            swap_number: Version::ZERO,
-            shed: false,
-            slice: None,
+            write_set: set,
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
         };
         let news = |items: Vec<(Version, Update)>, grants: Vec<Grant>| PeerMessage::PullResponse {
-            asked: Time(1 << 40),
+            requested_at: Time(1 << 40),
             term: Term(7),
-            fresh: Some(Span::millis(2500)),
-            items,
+            config_valid_for: Some(Span::millis(2500)),
+            updates: items,
             grants,
-            late: Vec::new(),
+            late_stores: Vec::new(),
         };
         let places = (0..n).map(|i| (place(i), PartitionLocation { keeper: keeper.clone(), epoch })).collect();
         let all = [
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -127,7 +127,7 @@
 
     fn build(&self, id: &Daemon, life: IncarnationId, files: Vec<(String, Bytes)>) -> (Box<dyn Core>, Vec<Effect>) {
         let mut me = self.shape.member(id);
-        (me.disk, me.life) = (IncarnationId(0), life);
+        (me.disk_id, me.incarnation) = (IncarnationId(0), life);
         let (seeds, times, b) = (self.shape.seeds(), Times::default(), &self.bounds);
         let (pull, terms) = (Span::millis(times.pull), times.terms());
         let seed = hash_of(id.as_str().as_bytes());
@@ -216,7 +216,7 @@
             Ev::Back(id, r) => ("back", 0, Event::CallFinished(*id, r.clone())),
             Ev::Ask(id, ask) => ("ask", 0, Event::Request(*id, own(ask))),
             Ev::Frame(frame) => match Envelope::open(frame, &self.cluster, &self.nodes[at].id) {
-                Ok(e) => (kind_of(&e.msg), frame.len() as u64, Event::MessageReceived { from: e.from, msg: e.msg }),
+                Ok(e) => (kind_of(&e.msg), frame.len() as u64, Event::MessageReceived { from: e.from, message: e.msg }),
                 Err(_) => return,
             },
         };
@@ -291,11 +291,11 @@
         let me = self.shape.member(&self.nodes[at].id);
         let made = nanos();
         let e = Envelope {
-            speech: PROTOCOL_VERSION,
+            protocol_version: PROTOCOL_VERSION,
             cluster: self.cluster.clone(),
             from: me.id,
             addr: me.addr,
-            life: LIFE,
+            incarnation: LIFE,
             to,
             reads_packed: false,
             zone: None,
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -78,8 +78,8 @@
             zone: self.zone_of(d),
             addr: format!("{ip}:7000"),
             http: format!("{ip}:8000"),
-            life: LIFE,
-            disk: if d.kind() == DaemonKind::Store { mark_of(d) } else { IncarnationId(0) },
+            incarnation: LIFE,
+            disk_id: if d.kind() == DaemonKind::Store { mark_of(d) } else { IncarnationId(0) },
             machine: String::new(),
         }
     }
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -13,9 +13,9 @@
         waitlist: Shape::list(0),
         id: MessageId(format!("event-{n}")),
         key: String::new(),
-        desk: String::new(),
+        callback: String::new(),
         ttl: None,
-        first: false,
+        declared_new: false,
         body: Bytes::from_static(b"body"),
     };
     f.ask(&Daemon("proxy-00001".into()), RequestId(1000 + n), ask);
--- a/crates/shell/src/disk.rs
+++ b/crates/shell/src/disk.rs
@@ -59,7 +59,7 @@
     /// the state back from its peers.
     fn read(&self, name: &str) -> Bytes {
         retry_read(|| self.folder.load(name)).unwrap_or_else(|e| {
-            log::error!("{} {}: {e}", LogEvent::DiskFailed.number(), LogEvent::DiskFailed.what());
+            log::error!("{} {}: {e}", LogEvent::DiskFailed.number(), LogEvent::DiskFailed.description());
             Bytes::new()
         })
     }
@@ -175,7 +175,7 @@
             pause = (pause * 2).min(LAST_PAUSE);
         }
         if self.progress.failing.swap(false, Ordering::AcqRel) {
-            log::info!("{} {}", LogEvent::DiskRecovered.number(), LogEvent::DiskRecovered.what());
+            log::info!("{} {}", LogEvent::DiskRecovered.number(), LogEvent::DiskRecovered.description());
         }
         Ok(())
     }
@@ -195,7 +195,7 @@
 }
 
 fn report(e: &DiskError) {
-    log::error!("{} {}: {e}", LogEvent::DiskFailed.number(), LogEvent::DiskFailed.what());
+    log::error!("{} {}: {e}", LogEvent::DiskFailed.number(), LogEvent::DiskFailed.description());
 }
 
 /// A disk is stuck when saves were waited for so long, with none among them
--- a/crates/shell/src/network.rs
+++ b/crates/shell/src/network.rs
@@ -153,7 +153,7 @@
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) else { return };
     tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-    log::info!("{} {}", LogEvent::Stopping.number(), LogEvent::Stopping.what());
+    log::info!("{} {}", LogEvent::Stopping.number(), LogEvent::Stopping.description());
     leaving.tell();
     crate::wires::push(&ring, Event::Shutdown).await;
 }
--- a/crates/shell/src/own.rs
+++ b/crates/shell/src/own.rs
@@ -6,7 +6,7 @@
 
 impl Outbound for Own {
     fn request(&self, call: &Call) -> Result<Request, CallResult> {
-        let method = if call.post { http::Method::POST } else { http::Method::GET };
+        let method = if call.is_post { http::Method::POST } else { http::Method::GET };
         let mut r = http::Request::builder().method(method).uri(&call.path).header("host", &call.addr);
         for (k, v) in &call.headers {
             let Ok(v) = http::HeaderValue::from_bytes(v.as_bytes()) else {
--- a/crates/shell/src/pool.rs
+++ b/crates/shell/src/pool.rs
@@ -259,7 +259,7 @@
 async fn sweep(pool: Arc<Pool>) {
     while let Some(next) = pool.drop_old() {
         // A little later, so that one look serves several.
-        let wait = (next + AHEAD.percent(25)).left(now());
+        let wait = (next + AHEAD.percent(25)).remaining(now());
         tokio::time::sleep(Duration::from_micros(wait.0)).await;
     }
 }
--- a/crates/shell/src/settings.rs
+++ b/crates/shell/src/settings.rs
@@ -91,10 +91,10 @@
         match settings.look(told) {
             None => {}
             Some(Ok(())) => {
-                log::info!("{} {}", LogEvent::SettingsApplied.number(), LogEvent::SettingsApplied.what());
+                log::info!("{} {}", LogEvent::SettingsApplied.number(), LogEvent::SettingsApplied.description());
                 taken.send_replace(settings.now().clone());
             }
-            Some(Err(e)) => log::warn!("{} {}: {e}", LogEvent::SettingsRefused.number(), LogEvent::SettingsRefused.what()),
+            Some(Err(e)) => log::warn!("{} {}: {e}", LogEvent::SettingsRefused.number(), LogEvent::SettingsRefused.description()),
         }
     }
 }
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -349,8 +349,8 @@
             zone: Zone(self.zone.clone()),
             addr: self.announce.clone().unwrap_or_else(|| self.listen.clone()),
             http: self.fronts.first().unwrap_or(&self.http).clone(),
-            life,
-            disk: IncarnationId(0),
+            incarnation: life,
+            disk_id: IncarnationId(0),
             machine: self.machine.clone(),
         }
     }
--- a/crates/shell/tests/answers.rs
+++ b/crates/shell/tests/answers.rs
@@ -17,8 +17,8 @@
     fn hear(&self, request: &Request) -> Heard {
         Heard::Ask(match request.uri().path() {
             "/show" => ApiRequest::CharterShow,
-            "/zone" => ApiRequest::SetZoneEmpty { zone: Zone("z1".into()), empty: true, sure: true },
-            path => ApiRequest::LookupRouted { name: path.to_string(), body: false },
+            "/zone" => ApiRequest::SetZoneEmpty { zone: Zone("z1".into()), empty: true, force: true },
+            path => ApiRequest::LookupRouted { name: path.to_string(), with_body: false },
         })
     }
     fn answer(&self, _: &Request, verdict: ApiResponse) -> Response {
--- a/crates/shell/tests/calls.rs
+++ b/crates/shell/tests/calls.rs
@@ -55,13 +55,13 @@
 
 fn call(addr: SocketAddr, limit: Span) -> Call {
     Call {
-        post: false,
+        is_post: false,
         addr: addr.to_string(),
         path: "/".into(),
         headers: Vec::new(),
         body: Bytes::new(),
-        limit,
-        errand: CallKind::Plain,
+        timeout: limit,
+        kind: CallKind::Plain,
     }
 }
 
--- a/crates/shell/tests/front.rs
+++ b/crates/shell/tests/front.rs
@@ -15,7 +15,7 @@
     fn hear(&self, request: &Request) -> Heard {
         match request.uri().path() {
             "/away" => Heard::Answer(bare(418)),
-            path => Heard::Ask(ApiRequest::LookupRouted { name: path.to_string(), body: false }),
+            path => Heard::Ask(ApiRequest::LookupRouted { name: path.to_string(), with_body: false }),
         }
     }
     fn answer(&self, request: &Request, verdict: ApiResponse) -> Response {
@@ -201,5 +201,5 @@
     let desk = Desk::new(ring, 0, AskLimits { callers: LONG, operators: LONG });
     let v = desk.ask(ApiRequest::Ready).await;
     assert_eq!(v.code, 503);
-    assert!(v.after.is_some());
+    assert!(v.retry_after.is_some());
 }
--- a/crates/shell/tests/late.rs
+++ b/crates/shell/tests/late.rs
@@ -86,13 +86,13 @@
 
 fn call(addr: SocketAddr, limit: Span) -> Call {
     Call {
-        post: true,
+        is_post: true,
         addr: addr.to_string(),
         path: "/".into(),
         headers: Vec::new(),
         body: Bytes::new(),
-        limit,
-        errand: CallKind::Plain,
+        timeout: limit,
+        kind: CallKind::Plain,
     }
 }
 
--- a/crates/shell/tests/packing.rs
+++ b/crates/shell/tests/packing.rs
@@ -142,11 +142,11 @@
 ) {
     wires.learn(peer, address);
     let envelope = Envelope {
-        speech: PROTOCOL_VERSION,
+        protocol_version: PROTOCOL_VERSION,
         cluster: "c".into(),
         from: peer.clone(),
         addr: address.into(),
-        life: IncarnationId(1),
+        incarnation: IncarnationId(1),
         to: "store-1".into(),
         reads_packed,
         zone: Some(Zone(zone.into())),
--- a/crates/sim/src/world/acts.rs
+++ b/crates/sim/src/world/acts.rs
@@ -199,11 +199,11 @@
                 self.check.unbar(&w);
             }
             Act::Order(w) => {
-                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w.clone()), on: true }, "", &format!("drain {w}"))
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w.clone()), draining: true }, "", &format!("drain {w}"))
             }
             Act::Unorder(w) => {
                 self.check.unbar(&w);
-                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w), on: false }, "", "undrain");
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w), draining: false }, "", "undrain");
             }
             Act::Lose(w, n) => {
                 if let Some(m) = self.out.moods.get_mut(&w) {
@@ -221,13 +221,13 @@
                 }
             }
             Act::Empty(z) => self.operate(
-                ApiRequest::SetZoneEmpty { zone: Zone(z.clone()), empty: true, sure: false },
+                ApiRequest::SetZoneEmpty { zone: Zone(z.clone()), empty: true, force: false },
                 "",
                 &format!("empty {z}"),
             ),
             Act::Restore(z) => {
                 self.check.restore_zone(&z);
-                self.operate(ApiRequest::SetZoneEmpty { zone: Zone(z), empty: false, sure: false }, "", "restore");
+                self.operate(ApiRequest::SetZoneEmpty { zone: Zone(z), empty: false, force: false }, "", "restore");
             }
             Act::List(x) => {
                 self.out.list_down = x == "down";
@@ -252,7 +252,7 @@
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
                 let mut c = charter(&self.shares);
                 c["tenants"][0]["share"] = json!(0);
-                let charge = ApplyRequest { op: "bad".into(), base, json: c.to_string(), patch: false };
+                let charge = ApplyRequest { operation_id: "bad".into(), base, json: c.to_string(), is_patch: false };
                 self.operate(ApiRequest::Apply(charge), "", "charter bad");
             }
             Act::Poison(n) => self.poison = n,
--- a/crates/sim/src/world/calls.rs
+++ b/crates/sim/src/world/calls.rs
@@ -5,8 +5,8 @@
     pub(super) fn call(&mut self, id: &Daemon, call_id: CallId, call: Call) {
         let Some(n) = self.nodes.get(id) else { return };
         let life = n.life;
-        let limit = n.real(call.limit);
-        if call.errand != CallKind::Plain {
+        let limit = n.real(call.timeout);
+        if call.kind != CallKind::Plain {
             return self.errand(id, life, call_id, call, limit);
         }
         let worker = Outside::at(&call.addr);
@@ -67,7 +67,7 @@
         if !mood.up || port != 80 + mood.life && !call.addr.starts_with("10.") {
             return self.reply_soon(&node, life, id, CallResult::Failed(SendState::NotSent));
         }
-        if !call.post {
+        if !call.is_post {
             return self.reply_soon(&node, life, id, got(200, mood.busy, mood.draining, "{}".into()));
         }
         if mood.draining {
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -17,7 +17,7 @@
         let json = charter(shares).to_string();
         let op = format!("op-{what}-{}", self.next_ask);
         self.operate(
-            ApiRequest::Apply(ApplyRequest { op, base: base.into(), json: json.clone(), patch: false }),
+            ApiRequest::Apply(ApplyRequest { operation_id: op, base: base.into(), json: json.clone(), is_patch: false }),
             base,
             &format!("charter {json}"),
         );
--- a/crates/sim/src/world/posting.rs
+++ b/crates/sim/src/world/posting.rs
@@ -115,8 +115,8 @@
             host: HOST.into(),
             id: id.clone(),
             key: t.key.clone(),
-            kind: "text/plain".into(),
-            back: format!("/done/{id}"),
+            media_type: "text/plain".into(),
+            callback_path: format!("/done/{id}"),
         };
         let post = Post {
             id,
@@ -138,7 +138,7 @@
         }
         self.count("posts", 1);
         let at = self.next_ask;
-        let ask = ApiRequest::SubmitRouted { parcel: Box::new(parcel), delay: t.delay, desk: t.desk, body: t.body };
+        let ask = ApiRequest::SubmitRouted { caller_request: Box::new(parcel), delay: t.delay, callback: t.desk, body: t.body };
         self.ask(&to, ask, Asked::Post(n, post));
         self.soon(WORD, Ev::AskTimeout(RequestId(at)));
     }
@@ -183,7 +183,7 @@
             }
             (PostWord::Refused(408 | 421 | 429 | 503), Some(v)) => {
                 self.count("refused", 1);
-                let after = v.after.unwrap_or(Span::millis(200)).0.max(50_000);
+                let after = v.retry_after.unwrap_or(Span::millis(200)).0.max(50_000);
                 self.post_again(n, Span(after));
             }
             (PostWord::Refused(404), _) => self.count("no route", 1),
@@ -197,7 +197,7 @@
         let Some(name) = self.mail.names.get(&post).cloned() else { return };
         let to = self.proxy();
         let at = self.next_ask;
-        if self.ask(&to, ApiRequest::LookupRouted { name, body }, Asked::Seek { post, body }) {
+        if self.ask(&to, ApiRequest::LookupRouted { name, with_body: body }, Asked::Seek { post, body }) {
             self.soon(SEEK, Ev::AskTimeout(RequestId(at)));
         }
     }
@@ -213,7 +213,7 @@
 
     pub(super) fn sought(&mut self, post: usize, body: bool, v: Option<ApiResponse>) {
         let Some(v) = v else { return };
-        let state = match (v.code, v.standing) {
+        let state = match (v.code, v.message_status) {
             (200, Some(RoutedMessageStatus::Waiting)) => State::Waiting,
             (200, Some(RoutedMessageStatus::Done(seal))) => State::Done(seal),
             (200, Some(RoutedMessageStatus::Dead)) => State::Dead,
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -127,16 +127,16 @@
                 Effect::Log(note @ (LogEvent::AttemptEndUnreported | LogEvent::LateSuccess), text) => {
                     let what = if note == LogEvent::AttemptEndUnreported { "attempts lapsed" } else { "successes told late" };
                     self.count(what, 1);
-                    self.say(format!("{id} {} {}: {text}", note.number(), note.what()));
+                    self.say(format!("{id} {} {}: {text}", note.number(), note.description()));
                 }
                 // The core found an invariant of its own broken.
                 Effect::Log(
                     note @ (LogEvent::AttemptOverran | LogEvent::EndedMessageDequeued | LogEvent::StrandedMessageRequeued),
                     text,
                 ) => {
-                    self.check.flag(format!("invariant: {id} {}: {text}", note.what()));
+                    self.check.flag(format!("invariant: {id} {}: {text}", note.description()));
                 }
-                Effect::Log(note, text) => self.say(format!("{id} {} {}: {text}", note.number(), note.what())),
+                Effect::Log(note, text) => self.say(format!("{id} {} {}: {text}", note.number(), note.description())),
                 Effect::Exit => self.goes(id),
                 Effect::SetPeerAddress(..) | Effect::SetPeerZone(..) => {}
             }
--- a/crates/sim/src/world/revising.rs
+++ b/crates/sim/src/world/revising.rs
@@ -68,7 +68,7 @@
         match v.code {
             200 => o.over = true,
             400 | 404 | 409 | 412 | 413 | 422 => o.over = true,
-            _ => return self.order_elsewhere(n, v.elsewhere),
+            _ => return self.order_elsewhere(n, v.redirect_to),
         }
         let (what, good) = (o.what.clone(), v.code == 200);
         self.say(format!("operator told {} for {what:?}", v.code));
@@ -133,7 +133,7 @@
         if valid {
             self.mail.charter = serde_json::to_value(&c).unwrap_or_default();
         }
-        self.order(ApiRequest::Revise { base, json: text, patch }, What::Charter(self.seen.charters.len() - 1));
+        self.order(ApiRequest::Revise { base, json: text, is_patch: patch }, What::Charter(self.seen.charters.len() - 1));
     }
 
     fn next_revision(&mut self) -> u64 {
@@ -287,7 +287,7 @@
     }
 
     pub(super) fn empty_routed(&mut self, zone: String) {
-        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: true, sure: true }, What::Empty(zone));
+        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: true, force: true }, What::Empty(zone));
     }
 
     /// The zone is taken back; its workers have just turned cold.
@@ -296,7 +296,7 @@
         self.seen.zones.iter_mut().filter(|z| z.0 == zone).for_each(|z| _ = z.2.get_or_insert(now));
         let cold: Vec<String> = self.floor.lives.iter().filter(|(_, w)| w.up && w.zone == zone).map(|x| x.0.clone()).collect();
         cold.iter().for_each(|w| self.chill(w));
-        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: false, sure: true }, What::Restore(zone));
+        self.order(ApiRequest::SetZoneEmpty { zone: Zone(zone.clone()), empty: false, force: true }, What::Restore(zone));
     }
 
     pub fn show_routed(&mut self) {
--- a/crates/sim/src/world/running.rs
+++ b/crates/sim/src/world/running.rs
@@ -7,7 +7,7 @@
 impl World {
     /// Calls that are not in the product's own words.
     pub(super) fn errand(&mut self, node: &Daemon, life: u64, id: CallId, call: Call, limit: Span) {
-        let at = match call.errand {
+        let at = match call.kind {
             CallKind::WorkerList { .. } => "platform".to_string(),
             _ => self.floor.at.get(&call.addr).cloned().unwrap_or_default(),
         };
@@ -35,7 +35,7 @@
         if !self.calls.contains(&(node.clone(), life, id)) {
             return;
         }
-        match call.errand {
+        match call.kind {
             CallKind::WorkerList { page } => self.list_asked(&node, life, id, page),
             CallKind::HealthCheck { .. } => {
                 let Some(w) = self.floor.lives.get(&at).filter(|w| w.up) else {
@@ -45,8 +45,12 @@
                 self.count("probes", 1);
                 self.reply_soon(&node, life, id, reply)
             }
-            CallKind::Callback { parcel, standing } => self.told_back(&node, life, id, &at, &parcel, standing),
-            CallKind::RunMessage { parcel, worker, span } => self.run_lands(node, life, id, at, *parcel, worker, span, call.body),
+            CallKind::Callback { caller_request: parcel, message_status: standing } => {
+                self.told_back(&node, life, id, &at, &parcel, standing)
+            }
+            CallKind::RunMessage { caller_request: parcel, worker, timeout: span } => {
+                self.run_lands(node, life, id, at, *parcel, worker, span, call.body)
+            }
             CallKind::Plain => {}
         }
     }
@@ -107,7 +111,7 @@
         }
         let end = if good { RunOutcome::Done(String::new()) } else { RunOutcome::Unknown(UnknownOutcomeCause::Status(503)) };
         self.soon(took, Ev::Routed(Turn::Received(desk.to_string())));
-        let reply = CallResult::RunFinished { end, load: None };
+        let reply = CallResult::RunFinished { outcome: end, load: None };
         self.soon(took, Ev::Back { node: node.clone(), life, id, reply });
     }
 
@@ -129,7 +133,7 @@
         };
         let (service, zone, load) = (w.service.clone(), w.zone.clone(), load(w));
         let full = w.running >= trade(&service).slots && w.waiting.len() >= trade(&service).queue;
-        let no = |gone| CallResult::RunFinished { end: RunOutcome::NotRun { gone }, load: Some(load) };
+        let no = |gone| CallResult::RunFinished { outcome: RunOutcome::NotRun { worker_gone: gone }, load: Some(load) };
         if meant.is_some_and(|m| m.0 != at) {
             self.count("not there", 1);
             return self.reply_soon(&node, life, id, no(true));
@@ -152,7 +156,7 @@
                 Some(Some(seal)) => {
                     let end = RunOutcome::Done(seal.clone());
                     self.count("repeats known", 1);
-                    return self.reply_soon(&node, life, id, CallResult::RunFinished { end, load: Some(load) });
+                    return self.reply_soon(&node, life, id, CallResult::RunFinished { outcome: end, load: Some(load) });
                 }
                 Some(None) => return self.reply_soon(&node, life, id, no(false)),
                 None => {}
@@ -276,7 +280,7 @@
         let lost = self.rng.u64(..100) < self.floor.spell(&toil.worker).lose;
         if heard && !lost && self.net.open(&toil.worker, toil.node.as_str()) {
             self.floor.answers.insert((toil.node.clone(), toil.life, toil.call), (toil.post, toil.run));
-            self.reply_soon(&toil.node, toil.life, toil.call, CallResult::RunFinished { end, load: Some(said) });
+            self.reply_soon(&toil.node, toil.life, toil.call, CallResult::RunFinished { outcome: end, load: Some(said) });
         }
         self.begin_runs(&toil.worker);
     }
--- a/crates/sim/src/world/sending.rs
+++ b/crates/sim/src/world/sending.rs
@@ -71,9 +71,9 @@
             waitlist: waitlist.into(),
             id: MessageId(h.id.clone()),
             key: h.key.clone(),
-            desk: h.desk.clone(),
+            callback: h.desk.clone(),
             ttl: None,
-            first: h.first && !h.again,
+            declared_new: h.first && !h.again,
             body: h.body.clone(),
         };
         self.check.asked(&h.name(), self.now);
@@ -141,7 +141,7 @@
             waitlist: waitlist.into(),
             id: MessageId(h.id),
             key: h.key,
-            body: l.body,
+            with_body: l.body,
         };
         if !self.ask(&to, ask, Asked::Look(l.clone())) && l.follow > 0 {
             self.soon(Span::millis(300), Ev::Look(l));
--- a/crates/sim/tests/common/mod.rs
+++ b/crates/sim/tests/common/mod.rs
@@ -35,7 +35,7 @@
 
 /// Alters the charters that daemons hear of.
 pub fn charter_news(effect: &mut Effect, from: &str, to: &str) {
-    if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = effect {
+    if let Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) = effect {
         for (_, item) in items {
             if let Update::Charter(json) = item {
                 *json = json.replace(from, to);
--- a/crates/sim/tests/control.rs
+++ b/crates/sim/tests/control.rs
@@ -99,9 +99,9 @@
 fn a_second_run_beside_extra_answers_is_caught() {
     // Some successes reach their store as doubtful, and are run again.
     let breakage: Breakage = |effect, rng| {
-        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = effect {
-            let won = all.iter_mut().filter(|settled| settled.told == AttemptOutcome::Success);
-            won.filter(|_| rng.u8(..30) == 0).for_each(|settled| settled.told = AttemptOutcome::Unknown);
+        if let Effect::Send(_, PeerMessage::AttemptResults { entries: all }) = effect {
+            let won = all.iter_mut().filter(|settled| settled.outcome == AttemptOutcome::Success);
+            won.filter(|_| rng.u8(..30) == 0).for_each(|settled| settled.outcome = AttemptOutcome::Unknown);
         }
         false
     };
--- a/crates/sim/tests/routed.rs
+++ b/crates/sim/tests/routed.rs
@@ -28,13 +28,13 @@
 
 fn runs(e: &mut Effect) -> Option<&mut Call> {
     match e {
-        Effect::Call(_, c) if matches!(c.errand, CallKind::RunMessage { .. }) => Some(c),
+        Effect::Call(_, c) if matches!(c.kind, CallKind::RunMessage { .. }) => Some(c),
         _ => None,
     }
 }
 
 fn listed(e: &mut Effect, change: fn(&mut Worker)) {
-    if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = e {
+    if let Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) = e {
         for (_, i) in items {
             if let Update::Workers(all) = i {
                 all.iter_mut().for_each(change);
@@ -55,7 +55,7 @@
     let b: Breakage = |e, rng| {
         if let Effect::Respond(_, v) = e {
             if v.code == 202 && one_in(40, rng) {
-                *v = ApiResponse { after: Some(Span::millis(100)), ..ApiResponse::json(503, "{\"taken\":false}".into()) };
+                *v = ApiResponse { retry_after: Some(Span::millis(100)), ..ApiResponse::json(503, "{\"taken\":false}".into()) };
             }
         }
         false
@@ -73,7 +73,7 @@
     };
     caught("run 8s", bytes, "sent", "altered");
     let path: Breakage = |e, rng| {
-        if let Effect::Call(_, Call { errand: CallKind::RunMessage { parcel, .. }, .. }) = e {
+        if let Effect::Call(_, Call { kind: CallKind::RunMessage { caller_request: parcel, .. }, .. }) = e {
             if one_in(60, rng) {
                 parcel.path.push_str("/more");
             }
@@ -82,7 +82,7 @@
     };
     caught("run 8s", path, "sent", "altered");
     let id: Breakage = |e, rng| {
-        if let Effect::Call(_, Call { errand: CallKind::RunMessage { parcel, .. }, .. }) = e {
+        if let Effect::Call(_, Call { kind: CallKind::RunMessage { caller_request: parcel, .. }, .. }) = e {
             if one_in(60, rng) {
                 parcel.id = "ghost".into();
             }
@@ -98,7 +98,7 @@
     // runs the message.
     let b: Breakage = |e, _| {
         charter_news(e, "\"health\":\"/health\"", "\"health\":\"\"");
-        if let Effect::Call(_, Call { errand: CallKind::RunMessage { worker, .. }, .. }) = e {
+        if let Effect::Call(_, Call { kind: CallKind::RunMessage { worker, .. }, .. }) = e {
             *worker = None;
         }
         false
@@ -123,10 +123,10 @@
 #[test]
 fn a_success_forgotten_is_caught() {
     let b: Breakage = |e, rng| {
-        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
+        if let Effect::Send(_, PeerMessage::AttemptResults { entries: all }) = e {
             all.iter_mut()
-                .filter(|s| s.told == AttemptOutcome::Success && one_in(30, rng))
-                .for_each(|s| s.told = AttemptOutcome::Unknown);
+                .filter(|s| s.outcome == AttemptOutcome::Success && one_in(30, rng))
+                .for_each(|s| s.outcome = AttemptOutcome::Unknown);
         }
         false
     };
@@ -136,17 +136,17 @@
 #[test]
 fn failures_that_are_not_counted_are_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
-            all.iter_mut().filter(|s| s.told == AttemptOutcome::Failed).for_each(|s| s.told = AttemptOutcome::NotStarted);
+        if let Effect::Send(_, PeerMessage::AttemptResults { entries: all }) = e {
+            all.iter_mut().filter(|s| s.outcome == AttemptOutcome::Failed).for_each(|s| s.outcome = AttemptOutcome::NotStarted);
         }
         false
     };
     caught("run 20s", b, "budget", "failures and");
     let never: Breakage = |e, _| {
-        if let Effect::Send(_, PeerMessage::AttemptResults { all }) = e {
+        if let Effect::Send(_, PeerMessage::AttemptResults { entries: all }) = e {
             all.iter_mut()
-                .filter(|s| s.told == AttemptOutcome::PermanentFailure)
-                .for_each(|s| s.told = AttemptOutcome::NotStarted);
+                .filter(|s| s.outcome == AttemptOutcome::PermanentFailure)
+                .for_each(|s| s.outcome = AttemptOutcome::NotStarted);
         }
         false
     };
@@ -184,8 +184,8 @@
 #[test]
 fn a_message_left_lying_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Send(_, PeerMessage::Offers { all, .. }) = e {
-            all.retain(|o| o.head.route != "push-3");
+        if let Effect::Send(_, PeerMessage::Offers { entries: all, .. }) = e {
+            all.retain(|o| o.header.route != "push-3");
         }
         false
     };
@@ -198,7 +198,7 @@
         1,
         false,
         Some(|e, _| {
-            if let Effect::Send(_, PeerMessage::Submit { head, .. }) = e {
+            if let Effect::Send(_, PeerMessage::Submit { header: head, .. }) = e {
                 if head.route == "push-3" {
                     head.delay = Span::secs(80);
                 }
@@ -213,8 +213,8 @@
 fn a_false_end_is_caught() {
     let done: Breakage = |e, _| {
         if let Effect::Respond(_, v) = e {
-            if v.standing == Some(RoutedMessageStatus::Waiting) {
-                v.standing = Some(RoutedMessageStatus::Done("made.up".into()));
+            if v.message_status == Some(RoutedMessageStatus::Waiting) {
+                v.message_status = Some(RoutedMessageStatus::Done("made.up".into()));
             }
         }
         false
@@ -222,15 +222,15 @@
     caught("run 8s; delayed 60", done, "told", "which no successful run gave");
     let dead: Breakage = |e, _| {
         if let Effect::Respond(_, v) = e {
-            if v.standing == Some(RoutedMessageStatus::Waiting) {
-                v.standing = Some(RoutedMessageStatus::Dead);
+            if v.message_status == Some(RoutedMessageStatus::Waiting) {
+                v.message_status = Some(RoutedMessageStatus::Dead);
             }
         }
         false
     };
     caught("run 8s; delayed 60", dead, "told", "dead, and it had not ended");
     let seal: Breakage = |e, _| {
-        if let Effect::Call(_, Call { errand: CallKind::Callback { standing, .. }, .. }) = e {
+        if let Effect::Call(_, Call { kind: CallKind::Callback { message_status: standing, .. }, .. }) = e {
             *standing = RoutedMessageStatus::Done(String::new());
         }
         false
@@ -240,11 +240,10 @@
 
 #[test]
 fn call_backs_left_out_or_late_are_caught() {
-    let none: Breakage =
-        |e, rng| matches!(e, Effect::Call(_, Call { errand: CallKind::Callback { .. }, .. }) if rng.u8(..) < 250);
+    let none: Breakage = |e, rng| matches!(e, Effect::Call(_, Call { kind: CallKind::Callback { .. }, .. }) if rng.u8(..) < 250);
     caught("run 16s", none, "backs", "was never told");
     let astray: Breakage = |e, rng| {
-        if let Effect::Call(_, c @ Call { errand: CallKind::Callback { .. }, .. }) = e {
+        if let Effect::Call(_, c @ Call { kind: CallKind::Callback { .. }, .. }) = e {
             if rng.u8(..) < 225 {
                 c.addr = "10.9.2.99:80".into();
             }
@@ -286,8 +285,8 @@
 #[test]
 fn work_for_the_emptied_zone_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Send(_, PeerMessage::PullResponse { items, .. }) = e {
-            items.retain(|i| i.1.source() != Topic::Orders);
+        if let Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) = e {
+            items.retain(|i| i.1.topic() != Topic::Orders);
         }
         false
     };
@@ -297,7 +296,7 @@
 #[test]
 fn a_message_run_before_its_delay_is_caught() {
     let b: Breakage = |e, _| {
-        if let Effect::Send(_, PeerMessage::Submit { head, .. }) = e {
+        if let Effect::Send(_, PeerMessage::Submit { header: head, .. }) = e {
             head.delay = Span::ZERO;
         }
         false
@@ -308,18 +307,18 @@
 #[test]
 fn a_charter_kept_from_a_daemon_is_caught() {
     let proxy: Breakage = |e, _| {
-        if let Effect::Send(to, PeerMessage::PullResponse { items, .. }) = e {
+        if let Effect::Send(to, PeerMessage::PullResponse { updates: items, .. }) = e {
             if to.as_str() == "proxy-1" {
-                items.retain(|i| i.1.source() != Topic::Charter);
+                items.retain(|i| i.1.topic() != Topic::Charter);
             }
         }
         false
     };
     caught("run 14s; at 2s changes 700ms", proxy, "charters", "as only an older charter has it");
     let delivery: Breakage = |e, _| {
-        if let Effect::Send(to, PeerMessage::PullResponse { items, .. }) = e {
+        if let Effect::Send(to, PeerMessage::PullResponse { updates: items, .. }) = e {
             if to.as_str() == "delivery-1" {
-                items.retain(|i| i.1.source() != Topic::Charter);
+                items.retain(|i| i.1.topic() != Topic::Charter);
             }
         }
         false
--- a/crates/versions/tests/leader.rs
+++ b/crates/versions/tests/leader.rs
@@ -14,8 +14,8 @@
         zone: Zone("z1".into()),
         addr: "store-1:1".into(),
         http: "store-1:80".into(),
-        life: IncarnationId(1),
-        disk: IncarnationId(2),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(2),
     };
     Link::new(me, seeds.iter().map(|seed| daemon(seed)).collect(), PACE, Terms::default())
 }
--- a/crates/versions/tests/lives.rs
+++ b/crates/versions/tests/lives.rs
@@ -10,8 +10,8 @@
         zone: Zone("z1".into()),
         addr: "store-1:1".into(),
         http: "store-1:80".into(),
-        life: IncarnationId(1),
-        disk: IncarnationId(2),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(2),
     }
 }
 
@@ -19,20 +19,23 @@
 fn started(now: Time) -> (Link, Time) {
     let mut link = Link::new(member(), vec![Daemon("placement-1".into())], PACE, Terms::default());
     let out = link.tick(now, || None);
-    assert!(matches!(out.last(), Some(Effect::Send(_, PeerMessage::Pull { asked, .. })) if *asked == now), "{out:?}");
+    assert!(
+        matches!(out.last(), Some(Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. })) if *asked == now),
+        "{out:?}"
+    );
     (link, now)
 }
 
 fn grant() -> Grant {
     let epoch = Epoch { term: Term(1), count: 1 };
     Grant {
-        duty: Duty::of_address("10.0.0.9:80"),
+        duty: Duty::for_unlisted_address("10.0.0.9:80"),
         epoch,
-        set: Vec::new(),
-        swap: None,
-        swap_number: Version::ZERO,
-        shed: false,
-        slice: None,
+        write_set: Vec::new(),
+        replacement: None,
+        replacement_number: Version::ZERO,
+        release_requested: false,
+        slot_range: None,
     }
 }
 
--- a/crates/waitlist/src/partial_copy.rs
+++ b/crates/waitlist/src/partial_copy.rs
@@ -8,8 +8,8 @@
 
 /// How many bytes a record without its body takes, about.
 pub fn record_size(head: &MessageHeader) -> usize {
-    let parcel = head.parcel.as_ref().map_or(0, |p| p.path.len() + p.host.len() + p.id.len() + p.back.len());
-    RECORD + head.key.len() + head.seal.len() + parcel
+    let parcel = head.caller_request.as_ref().map_or(0, |p| p.path.len() + p.host.len() + p.id.len() + p.callback_path.len());
+    RECORD + head.key.len() + head.completion_token.len() + parcel
 }
 
 /// Invariants: `records` are exactly the source's at operation `position.n`, of
@@ -119,14 +119,14 @@
         }
         self.take_bodies(part.bodies);
         if let Some((last, _)) = part.records.last() {
-            self.position = Some(CopyPosition { after: last.id.clone(), n: part.n });
+            self.position = Some(CopyPosition { last_id: last.id.clone(), last_op: part.last_op });
         } else if let Some(position) = &mut self.position {
-            position.n = part.n;
+            position.last_op = part.last_op;
         }
         for (head, stage) in &part.records {
             self.put(head, *stage, &held, now);
         }
-        (self.n, self.next, self.complete) = (part.n, part.next, part.complete);
+        (self.n, self.next, self.complete) = (part.last_op, part.next_seq, part.complete);
         match brings || self.missing.is_empty() {
             true => Taken::Onward,
             false => Taken::InVain,
@@ -145,7 +145,7 @@
         if record.head.len == 0 {
             return;
         }
-        record.body = self.spare.remove(&head.id).filter(|body| head.sound(body));
+        record.body = self.spare.remove(&head.id).filter(|body| head.matches(body));
         if record.body.is_none() && !held(head) {
             self.missing.insert(head.id.clone());
         }
@@ -164,7 +164,7 @@
         let mut sound = true;
         for (id, body) in bodies {
             let Some(record) = self.records.recs.get_mut(&id).filter(|r| r.head.len > 0) else { continue };
-            if !record.head.sound(&body) {
+            if !record.head.matches(&body) {
                 sound = false;
                 continue;
             }
--- a/crates/waitlist/src/store/append.rs
+++ b/crates/waitlist/src/store/append.rs
@@ -33,7 +33,7 @@
                 self.dirty.insert(place.clone());
             }
         }
-        self.say(mate, PeerMessage::Append { place: place.clone(), epoch, first: sent + 1, ops });
+        self.say(mate, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
     }
 
     pub(super) fn on_append(
@@ -53,11 +53,11 @@
         if epoch < p.promised {
             let promised = p.promised;
             self.counts.fenced += 1;
-            return self.say(&from, PeerMessage::FenceRefused { place, promised });
+            return self.say(&from, PeerMessage::FenceRefused { partition: place, promised_epoch: promised });
         }
         if p.installed != epoch || first > p.n + 1 {
             let (installed, n) = (p.installed, p.n);
-            return self.say(&from, PeerMessage::AppendGap { place, epoch, installed, n });
+            return self.say(&from, PeerMessage::AppendGap { partition: place, epoch, installed_epoch: installed, last_op: n });
         }
         let home = self.ledger.next();
         for (at, op) in ops.into_iter().enumerate() {
@@ -66,7 +66,7 @@
                 continue;
             }
             if let PartitionOp::Put(head, _, body) = &op {
-                if !head.sound(body) {
+                if !head.matches(body) {
                     break;
                 }
             }
@@ -143,7 +143,7 @@
         }
         peer.have = None;
         peer.asked = now;
-        self.say(&from, PeerMessage::Lagging { place, epoch, was, mark, short: false });
+        self.say(&from, PeerMessage::Lagging { partition: place, epoch, expected: was, disk_id: mark, must_fetch: false });
     }
 
     pub(super) fn own_durable(&mut self, place: &PartitionId, epoch: Epoch, upto: u64, now: Time) {
--- a/crates/waitlist/src/store/attempt_ends.rs
+++ b/crates/waitlist/src/store/attempt_ends.rs
@@ -54,7 +54,7 @@
 
     /// Judges a success of an attempt that is not under way here.
     pub(super) fn judge_success(&mut self, from: &Daemon, told: &AttemptResult, now: Time) {
-        let Some(p) = self.parts.get_mut(&told.place) else { return };
+        let Some(p) = self.parts.get_mut(&told.partition) else { return };
         let Some(own) = p.own.as_mut() else { return };
         let unread = self.standstill.unread(now);
         let Some(late) = own.overdue.judge(told, own.epoch, own.quiet, unread, now) else { return };
@@ -62,7 +62,7 @@
         let again = seq.and_then(|seq| own.lane.flights.get(&seq)).map(|f| f.attempt);
         let again = again.map_or(String::from("none under way now"), |n| format!("attempt {n} under way now"));
         let text =
-            format!("{} {} attempt {} of epoch {} at {from}: {late}, {again}", told.place, told.id, told.attempt, told.epoch);
+            format!("{} {} attempt {} of epoch {} at {from}: {late}, {again}", told.partition, told.id, told.attempt, told.epoch);
         let note = match late.is_violation() {
             true => {
                 self.counts.outlived += 1;
--- a/crates/waitlist/src/store/copy_source.rs
+++ b/crates/waitlist/src/store/copy_source.rs
@@ -32,7 +32,7 @@
             return;
         }
         let digest = self.parts[&place].digest();
-        self.say(&from, PeerMessage::WholeCopy { place, epoch, digest });
+        self.say(&from, PeerMessage::WholeCopy { partition: place, epoch, snapshot: digest });
     }
 
     /// Bytes by name: of a copy that goes by the list, or for a copy that is bad.
@@ -51,7 +51,7 @@
             return;
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
-        self.say(&from, PeerMessage::Bodies { place, epoch, all: bodies.here });
+        self.say(&from, PeerMessage::Bodies { partition: place, epoch, entries: bodies.here });
     }
 
     /// The next part of a copy, once the bytes that go with it are at hand.
@@ -76,9 +76,9 @@
         self.counts.bodies_sent += bodies.here.len() as u64;
         let part = Box::new(self.parts[&place].copy_part(request.position, bodies.here));
         if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
-            own.note_copying(from.clone(), part.n, now);
+            own.note_copying(from.clone(), part.last_op, now);
         }
-        self.say(&from, PeerMessage::CopyPart { place, epoch, part });
+        self.say(&from, PeerMessage::CopyPart { partition: place, epoch, part });
     }
 
     /// What there is of the bytes asked for, up to a bound. Of a record that is
@@ -117,21 +117,21 @@
     /// The part of a copy that goes on from `position`; from the beginning, if
     /// the operations since then are no longer kept.
     fn copy_part(&self, position: Option<CopyPosition>, bodies: Vec<(MessageId, Bytes)>) -> CopyPart {
-        let since = position.and_then(|at| Some((self.ops_since(at.n)?, at)));
+        let since = position.and_then(|at| Some((self.ops_since(at.last_op)?, at)));
         let (ops, from) = match since {
             Some((ops, at)) => (ops, Some(at)),
             None => (Vec::new(), None),
         };
-        let n = from.as_ref().map_or(self.n, |at| at.n + ops.len() as u64);
+        let n = from.as_ref().map_or(self.n, |at| at.last_op + ops.len() as u64);
         // Records stand at the last operation: with one that comes later in
         // another part they would not fit.
         let (records, complete) = match n == self.n {
-            true => self.records_after(from.as_ref().map(|at| &at.after)),
+            true => self.records_after(from.as_ref().map(|at| &at.last_id)),
             false => (Vec::new(), false),
         };
-        let known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.after);
+        let known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.last_id);
         let ops = ops.into_iter().filter(known).collect();
-        CopyPart { from, ops, bodies, records, n, next: self.next, complete }
+        CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next, complete }
     }
 
     /// Operations since the one numbered `n`, as many as are sent at once.
--- a/crates/waitlist/src/store/mates.rs
+++ b/crates/waitlist/src/store/mates.rs
@@ -161,8 +161,8 @@
                 }
                 own.spread = Spread::Done;
                 let Some(first) = first.filter(|d| !own.mates.contains_key(d)) else { return };
-                let stands = own.fences.get(&first).filter(|fence| own.counts(&first, fence.mark));
-                if stands.is_some_and(|fence| own.was == Some((fence.installed, fence.n))) {
+                let stands = own.fences.get(&first).filter(|fence| own.counts(&first, fence.disk_id));
+                if stands.is_some_and(|fence| own.was == Some((fence.installed_epoch, fence.last_op))) {
                     own.mates.insert(first.clone(), now);
                     own.spread = Spread::Drawn(first);
                 }
@@ -254,7 +254,7 @@
         }
         let joining = own.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
         for (store, mark) in own.set.clone().into_iter().chain(joining) {
-            let disk = self.link.members.get(&store).map(|m| m.disk);
+            let disk = self.link.members.get(&store).map(|m| m.disk_id);
             if store == self.startup.me.id || disk.is_none_or(|m| m == mark) {
                 continue;
             }
@@ -271,7 +271,7 @@
     /// Stores of the set whose present folder is not the one that counts. One
     /// that is away may come back with its folder: it is not among them.
     pub(super) fn seats_without_copy(&self, own: &Keep) -> Vec<Daemon> {
-        let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk != seat.1);
+        let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
         own.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
     }
 
@@ -309,7 +309,7 @@
         own.asked = now;
         let epoch = own.epoch;
         for store in unseen {
-            self.say(&store, PeerMessage::Fence { place: place.clone(), epoch });
+            self.say(&store, PeerMessage::Fence { partition: place.clone(), epoch });
         }
     }
 
@@ -318,7 +318,13 @@
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
         let mark = own.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
         let short = own.peers.get(&peer).is_some_and(|s| s.short);
-        let lag = PeerMessage::Lagging { place: place.clone(), epoch: own.epoch, was: own.was, mark, short };
+        let lag = PeerMessage::Lagging {
+            partition: place.clone(),
+            epoch: own.epoch,
+            expected: own.was,
+            disk_id: mark,
+            must_fetch: short,
+        };
         self.note(LogEvent::CopyRepairing, format!("{place} at {peer}"));
         self.say(&peer, lag);
     }
--- a/crates/waitlist/src/store/posts.rs
+++ b/crates/waitlist/src/store/posts.rs
@@ -39,11 +39,11 @@
 /// When a message was handed in, by this store's clock: what was read from
 /// disk or copied from a peer tells it by the time of day.
 pub(super) fn sent(head: &MessageHeader, made: Time, wall: u64, now: Time) -> Time {
-    if head.born == 0 || wall == 0 {
+    if head.accepted_unix_micros == 0 || wall == 0 {
         return now;
     }
     let day = wall + now.since(made).0;
-    Time(now.0.saturating_sub(day.saturating_sub(head.born)))
+    Time(now.0.saturating_sub(day.saturating_sub(head.accepted_unix_micros)))
 }
 
 /// One line with something due, and its place in turn.
@@ -66,20 +66,20 @@
         now: Time,
     ) {
         let old = self.taking.get(from);
-        let overtaken = |t: &Taking| t.life == reach.life && t.asked > asked;
-        if old.is_some_and(|t| overtaken(t) || t.earlier_lives.contains(&reach.life)) {
+        let overtaken = |t: &Taking| t.life == reach.incarnation && t.asked > asked;
+        if old.is_some_and(|t| overtaken(t) || t.earlier_lives.contains(&reach.incarnation)) {
             return;
         }
         self.stirred = true;
         let mut earlier_lives = old.map(|t| t.earlier_lives.clone()).unwrap_or_default();
-        if let Some(life) = old.map(|t| t.life).filter(|life| *life != reach.life) {
+        if let Some(life) = old.map(|t| t.life).filter(|life| *life != reach.incarnation) {
             earlier_lives.push(life);
             earlier_lives.drain(..earlier_lives.len().saturating_sub(LIVES_REMEMBERED));
-            self.life_over(from, reach.life, now);
+            self.life_over(from, reach.incarnation, now);
         }
         let services = reach.services.into_iter().collect();
         let addresses = reach.addresses.into_iter().collect();
-        self.taking.insert(from.clone(), Taking { life: reach.life, earlier_lives, asked, at: now, services, addresses });
+        self.taking.insert(from.clone(), Taking { life: reach.incarnation, earlier_lives, asked, at: now, services, addresses });
         self.vouch(from, places, holding, now);
     }
 
@@ -111,7 +111,7 @@
             if own.epoch != *epoch || own.phase != Phase::Serving || own.quiet <= now {
                 continue;
             }
-            let held = holding.iter().filter(|h| h.place == *place).filter_map(|h| p.recs.get(&h.id)).map(|r| r.head.seq);
+            let held = holding.iter().filter(|h| h.partition == *place).filter_map(|h| p.recs.get(&h.id)).map(|r| r.head.seq);
             own.vouched.insert(from.clone(), held.collect());
             if !all.iter().all(|d| own.vouched.contains_key(*d)) {
                 continue;
@@ -184,7 +184,7 @@
             }
         }
         for (to, (asked, all)) in offers {
-            self.say(&to, PeerMessage::Offers { asked, all });
+            self.say(&to, PeerMessage::Offers { requested_at: asked, entries: all });
         }
     }
 
@@ -198,7 +198,7 @@
         let spare = |d: &Daemon, t: &Taking| {
             let most = match goal {
                 Destination::Service(s) => t.services.get(s).copied().unwrap_or(0),
-                Destination::Address(a) if t.addresses.contains(&Duty::of_address(a)) => CALLS_AT_ONCE,
+                Destination::Address(a) if t.addresses.contains(&Duty::for_unlisted_address(a)) => CALLS_AT_ONCE,
                 Destination::Address(_) => 0,
             };
             most.saturating_sub(out.get(&(goal.clone(), d.clone())).copied().unwrap_or(0))
@@ -287,14 +287,14 @@
             let place = place.clone();
             return Some(Offer {
                 duty,
-                place,
-                head,
+                partition: place,
+                header: head,
                 stage,
                 epoch,
                 attempt: attempt_id,
                 body,
-                goal: Some(goal.clone()),
-                limit: attempt,
+                destination: Some(goal.clone()),
+                timeout: attempt,
             });
         }
     }
@@ -364,7 +364,7 @@
                     _ => double(CALL_PAUSE, r.tries, CALL_PAUSE_MAX),
                 };
                 r.tries += u32::from(told != AttemptOutcome::NotStarted);
-                own.lane.calls.entry(r.head.desk.clone()).or_default().insert((now + pause, seq));
+                own.lane.calls.entry(r.head.callback.clone()).or_default().insert((now + pause, seq));
             }
             Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
--- a/crates/waitlist/tests/bounded_copies.rs
+++ b/crates/waitlist/tests/bounded_copies.rs
@@ -13,7 +13,7 @@
 const BOUND: u64 = 30_000;
 
 fn place(part: u32) -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part }
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: part }
 }
 
 fn body(seq: u64) -> Bytes {
@@ -34,7 +34,8 @@
 /// The keeper's answer: all records first, then the bytes of one message.
 fn part_of(request: &CopyRequest) -> CopyPart {
     let (n, next, complete) = (MESSAGES, MESSAGES + 1, true);
-    let empty = CopyPart { from: None, ops: Vec::new(), bodies: Vec::new(), records: Vec::new(), n, next, complete };
+    let empty =
+        CopyPart { from: None, ops: Vec::new(), bodies: Vec::new(), records: Vec::new(), last_op: n, next_seq: next, complete };
     if request.position.is_none() {
         let records = (1..=MESSAGES).map(|seq| (head(seq), Stage::Pending)).collect();
         return CopyPart { records, ..empty };
@@ -55,13 +56,19 @@
 impl Replica {
     /// Told that it lacks every partition.
     fn new() -> Replica {
-        let me = Member { disk: IncarnationId(2), ..member("store-2", "z2") };
+        let me = Member { disk_id: IncarnationId(2), ..member("store-2", "z2") };
         let startup = Startup { cache_max: BOUND, ..startup(me) };
         let (core, _) = Store::new(startup, &Vec::new(), IncarnationId(2), START);
         let mut replica = Replica { core, now: START, questions: VecDeque::new(), most: 0 };
         replica.step(Event::Saved(1));
         for part in 0..PARTITIONS {
-            let lag = PeerMessage::Lagging { place: place(part), epoch: EPOCH, was: None, mark: IncarnationId(2), short: false };
+            let lag = PeerMessage::Lagging {
+                partition: place(part),
+                epoch: EPOCH,
+                expected: None,
+                disk_id: IncarnationId(2),
+                must_fetch: false,
+            };
             replica.hear(lag);
         }
         replica
@@ -71,7 +78,7 @@
         for effect in self.core.step(event, self.now) {
             match effect {
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
-                Effect::Send(_, PeerMessage::FetchCopy { place, request: Some(request), .. }) => {
+                Effect::Send(_, PeerMessage::FetchCopy { partition: place, request: Some(request), .. }) => {
                     self.questions.push_back((place, request))
                 }
                 _ => {}
@@ -82,7 +89,7 @@
     }
 
     fn hear(&mut self, msg: PeerMessage) {
-        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 
     /// Lets time pass while the keeper answers for all partitions but these.
@@ -90,8 +97,8 @@
         let end = self.now + span;
         while self.now < end {
             while let Some((place, request)) = self.questions.pop_front() {
-                if !unanswered.contains(&place.part) {
-                    self.hear(PeerMessage::CopyPart { place, epoch: EPOCH, part: Box::new(part_of(&request)) });
+                if !unanswered.contains(&place.number) {
+                    self.hear(PeerMessage::CopyPart { partition: place, epoch: EPOCH, part: Box::new(part_of(&request)) });
                 }
             }
             self.now += Span::millis(20);
--- a/crates/waitlist/tests/copies.rs
+++ b/crates/waitlist/tests/copies.rs
@@ -7,7 +7,7 @@
 const EPOCH: Epoch = Epoch { term: Term(1), count: 1 };
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
 }
 
 fn head(name: &str, seq: u64) -> MessageHeader {
@@ -31,12 +31,18 @@
 impl Replica {
     /// Whole under the epoch, with one message.
     fn with_one_message() -> Replica {
-        let me = Member { disk: IncarnationId(2), ..member("store-2", "z2") };
+        let me = Member { disk_id: IncarnationId(2), ..member("store-2", "z2") };
         let (core, _) = Store::new(startup(me), &Vec::new(), IncarnationId(2), NOW);
         let mut replica = Replica { now: NOW, core, acknowledged: Vec::new(), asked: Vec::new() };
         replica.step(Event::Saved(1));
         let was = Some((Epoch::default(), 0));
-        replica.hear(PeerMessage::Lagging { place: place(), epoch: EPOCH, was, mark: IncarnationId(2), short: false });
+        replica.hear(PeerMessage::Lagging {
+            partition: place(),
+            epoch: EPOCH,
+            expected: was,
+            disk_id: IncarnationId(2),
+            must_fetch: false,
+        });
         replica.append(1, put("first", 1));
         replica
     }
@@ -45,7 +51,7 @@
         for effect in self.core.step(event, self.now) {
             match effect {
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
-                Effect::Send(_, PeerMessage::Appended { upto, .. }) => self.acknowledged.push(upto),
+                Effect::Send(_, PeerMessage::Appended { up_to: upto, .. }) => self.acknowledged.push(upto),
                 Effect::Send(_, msg @ (PeerMessage::FetchCopy { .. } | PeerMessage::FetchBodies { .. })) => self.asked.push(msg),
                 _ => {}
             }
@@ -53,11 +59,11 @@
     }
 
     fn hear(&mut self, msg: PeerMessage) {
-        self.step(Event::MessageReceived { from: daemon("store-1"), msg });
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 
     fn append(&mut self, first: u64, op: PartitionOp) {
-        self.hear(PeerMessage::Append { place: place(), epoch: EPOCH, first, ops: vec![op] });
+        self.hear(PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops: vec![op] });
     }
 
     fn part(&self) -> &dw_waitlist::part::Part {
@@ -72,12 +78,18 @@
 #[test]
 fn a_copy_older_than_what_was_acknowledged_takes_nothing_away() {
     let mut replica = Replica::with_one_message();
-    replica.hear(PeerMessage::Lagging { place: place(), epoch: EPOCH, was: None, mark: IncarnationId(2), short: true });
-    let digest = PartitionSnapshot { n: 1, next: 2, heads: vec![(head("first", 1), Stage::Pending)] };
+    replica.hear(PeerMessage::Lagging {
+        partition: place(),
+        epoch: EPOCH,
+        expected: None,
+        disk_id: IncarnationId(2),
+        must_fetch: true,
+    });
+    let digest = PartitionSnapshot { last_op: 1, next_seq: 2, headers: vec![(head("first", 1), Stage::Pending)] };
     replica.append(2, put("second", 2));
     replica.append(3, PartitionOp::SetStage(MessageId("first".into()), Stage::Ended(Outcome::Succeeded)));
     assert_eq!(replica.acknowledged.last(), Some(&3));
-    replica.hear(PeerMessage::WholeCopy { place: place(), epoch: EPOCH, digest });
+    replica.hear(PeerMessage::WholeCopy { partition: place(), epoch: EPOCH, snapshot: digest });
     let part = replica.part();
     assert_eq!(part.n, 3, "what was acknowledged is counted no more");
     assert!(part.recs.contains_key(&MessageId("second".into())), "an accepted message is gone");
@@ -102,7 +114,13 @@
 #[test]
 fn a_copy_that_is_waited_for_is_asked_for_less_and_less() {
     let mut replica = Replica::with_one_message();
-    replica.hear(PeerMessage::Lagging { place: place(), epoch: EPOCH, was: None, mark: IncarnationId(2), short: true });
+    replica.hear(PeerMessage::Lagging {
+        partition: place(),
+        epoch: EPOCH,
+        expected: None,
+        disk_id: IncarnationId(2),
+        must_fetch: true,
+    });
     let asked = questions(&mut replica, Span::secs(6));
     assert!((2..=4).contains(&asked.len()), "{} questions in 6 s", asked.len());
 }
@@ -112,16 +130,17 @@
 fn bodies_that_it_has_are_not_asked_for_again() {
     let mut replica = Replica::with_one_message();
     let next = Epoch { count: 2, ..EPOCH };
-    let lag = || PeerMessage::Lagging { place: place(), epoch: next, was: None, mark: IncarnationId(2), short: false };
+    let lag =
+        || PeerMessage::Lagging { partition: place(), epoch: next, expected: None, disk_id: IncarnationId(2), must_fetch: false };
     let heads = ["a", "b"].iter().zip(2..).map(|(name, seq)| (head(name, seq), Stage::Pending)).collect();
-    let digest = PartitionSnapshot { n: 2, next: 4, heads };
+    let digest = PartitionSnapshot { last_op: 2, next_seq: 4, headers: heads };
     replica.hear(lag());
-    replica.hear(PeerMessage::WholeCopy { place: place(), epoch: next, digest: digest.clone() });
+    replica.hear(PeerMessage::WholeCopy { partition: place(), epoch: next, snapshot: digest.clone() });
     let half = vec![(MessageId("a".into()), Bytes::from_static(b"a"))];
-    replica.hear(PeerMessage::Bodies { place: place(), epoch: next, all: half });
+    replica.hear(PeerMessage::Bodies { partition: place(), epoch: next, entries: half });
     replica.asked.clear();
 
-    replica.hear(PeerMessage::WholeCopy { place: place(), epoch: next, digest });
+    replica.hear(PeerMessage::WholeCopy { partition: place(), epoch: next, snapshot: digest });
     let wanted: Vec<_> = replica
         .asked
         .iter()
--- a/crates/waitlist/tests/departure.rs
+++ b/crates/waitlist/tests/departure.rs
@@ -45,19 +45,19 @@
     fn obey(&mut self, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Send(to, PeerMessage::Pull { asked, report: Some(report), .. }) => {
+                Effect::Send(to, PeerMessage::Pull { requested_at: asked, report: Some(report), .. }) => {
                     let news = PeerMessage::PullResponse {
-                        asked,
+                        requested_at: asked,
                         term: TERM,
-                        fresh: None,
-                        items: Vec::new(),
+                        config_valid_for: None,
+                        updates: Vec::new(),
                         grants: Vec::new(),
-                        late: Vec::new(),
+                        late_stores: Vec::new(),
                     };
-                    self.step(Event::MessageReceived { from: to.clone(), msg: news });
+                    self.step(Event::MessageReceived { from: to.clone(), message: news });
                     self.told += usize::from(report.stopping);
                     if let (true, Placement::Says { wait, term }) = (report.stopping, self.placement) {
-                        self.step(Event::MessageReceived { from: to, msg: PeerMessage::Departure { term, wait } });
+                        self.step(Event::MessageReceived { from: to, message: PeerMessage::Departure { term, wait } });
                     }
                 }
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
@@ -123,7 +123,10 @@
     let (core, out) = Store::new(startup(member("store-1", "z1")), &Vec::new(), IncarnationId(1), store.now);
     store.core = core;
     store.obey(out);
-    store.step(Event::MessageReceived { from: daemon("placement-1"), msg: PeerMessage::Departure { term: TERM, wait: false } });
+    store.step(Event::MessageReceived {
+        from: daemon("placement-1"),
+        message: PeerMessage::Departure { term: TERM, wait: false },
+    });
     store.run(Span::secs(7));
     assert_eq!((store.gone, store.told), (None, 0));
 }
--- a/crates/waitlist/tests/doubt.rs
+++ b/crates/waitlist/tests/doubt.rs
@@ -9,17 +9,20 @@
 fn next_after_doubt(pair: &mut Pair) -> Span {
     let offer = pair.offers.last().unwrap();
     let doubt = AttemptResult {
-        place: place(),
-        id: offer.head.id.clone(),
+        partition: place(),
+        id: offer.header.id.clone(),
         epoch: offer.epoch,
         attempt: offer.attempt,
         stage: offer.stage,
-        told: AttemptOutcome::Unknown,
-        seal: String::new(),
+        outcome: AttemptOutcome::Unknown,
+        completion_token: String::new(),
         ended_ago: Span::ZERO,
     };
     let (begun, count) = (pair.now, pair.offers.len());
-    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![doubt] } });
+    pair.step(
+        0,
+        Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![doubt] } },
+    );
     while pair.offers.len() == count {
         assert!(pair.now.since(begun) < Span::secs(20), "it never runs again");
         pair.run(Span::millis(20));
--- a/crates/waitlist/tests/frozen.rs
+++ b/crates/waitlist/tests/frozen.rs
@@ -19,16 +19,16 @@
 fn success(pair: &Pair) -> Event {
     let offer = &pair.offers[0];
     let one = AttemptResult {
-        place: place(),
-        id: offer.head.id.clone(),
+        partition: place(),
+        id: offer.header.id.clone(),
         epoch: offer.epoch,
         attempt: offer.attempt,
         stage: offer.stage,
-        told: AttemptOutcome::Success,
-        seal: "seal".into(),
+        outcome: AttemptOutcome::Success,
+        completion_token: "seal".into(),
         ended_ago: Span::ZERO,
     };
-    Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } }
+    Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![one] } }
 }
 
 /// Finding of the soak (issue 32, seed 32308): the age that a delivery gives a
--- a/crates/waitlist/tests/hand_over.rs
+++ b/crates/waitlist/tests/hand_over.rs
@@ -26,17 +26,17 @@
     let epoch = Epoch { term: TERM, count: 1 };
     let told = AttemptOutcome::Success;
     let one = AttemptResult {
-        place: place(),
+        partition: place(),
         id: id(),
         epoch,
         attempt: 1,
         stage: Stage::Pending,
-        told,
-        seal: String::new(),
+        outcome: told,
+        completion_token: String::new(),
         ended_ago: Span::ZERO,
     };
-    let msg = PeerMessage::AttemptResults { all: vec![one] };
-    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::AttemptResults { entries: vec![one] };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     fleet.settle();
 }
 
@@ -46,8 +46,15 @@
 
 /// The stage that callers are shown by store `n`.
 fn shown_by(fleet: &mut Fleet, n: u64) -> Stage {
-    let msg = PeerMessage::Lookup { ask: 9, proxy: daemon("proxy-1"), via: None, place: place(), id: id(), body: false };
-    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("proxy-1"), msg }));
+    let msg = PeerMessage::Lookup {
+        request_id: 9,
+        proxy: daemon("proxy-1"),
+        via: None,
+        partition: place(),
+        id: id(),
+        with_body: false,
+    };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     fleet.settle();
     match fleet.shown.take() {
         Some(LookupResult::Found { stage, .. }) => stage,
@@ -98,10 +105,10 @@
 /// Store 1 hears what a delivery takes of the partition.
 fn room(fleet: &mut Fleet, room: u32) {
     let epoch = Epoch { term: TERM, count: 1 };
-    let duties = vec![Capacity { duty: Duty::Deliver(place()), epoch, room, since: Span::ZERO }];
+    let duties = vec![Capacity { duty: Duty::Deliver(place()), epoch, capacity: room, held_for: Span::ZERO }];
     let places = vec![(place(), epoch)];
-    let msg = PeerMessage::Capacity { asked: fleet.now, duties, places, holding: Vec::new(), reach: None };
-    fleet.queue.push_back((store(1), Event::MessageReceived { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::Capacity { requested_at: fleet.now, duties, partitions: places, in_flight: Vec::new(), routed: None };
+    fleet.queue.push_back((store(1), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     fleet.settle();
 }
 
--- a/crates/waitlist/tests/lane.rs
+++ b/crates/waitlist/tests/lane.rs
@@ -22,7 +22,7 @@
     let mut lane = Lane::default();
     lane.line.extend([(Time::millis(9_000), 1), (NOW, 2), (Time::millis(10_001), 3)]);
     assert_eq!(lane.ready(NOW, 100), 2);
-    let place = PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 };
+    let place = PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 };
     lane.flights.insert(4, flight(Duty::Deliver(place)));
     lane.flights.insert(5, flight(Duty::Endpoint("desk-1".into())));
     assert_eq!(lane.ready(NOW, 100), 3);
@@ -37,7 +37,7 @@
         id: MessageId(format!("m{seq}")),
         key: "k".into(),
         route: "turns".into(),
-        desk: "10.0.0.1:80".into(),
+        callback: "10.0.0.1:80".into(),
         seq,
         ..MessageHeader::default()
     };
--- a/crates/waitlist/tests/loaded/mod.rs
+++ b/crates/waitlist/tests/loaded/mod.rs
@@ -18,7 +18,7 @@
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
 }
 
 /// The name of the message that is handed in under this number.
@@ -193,7 +193,7 @@
     /// them.
     pub fn alter_one(&mut self) {
         self.queue.clear();
-        let id = self.under_way.pop_front().expect("one under way").head.id;
+        let id = self.under_way.pop_front().expect("one under way").header.id;
         for core in self.cores.values_mut() {
             let Some(record) = core.parts.get_mut(&place()).and_then(|part| part.recs.get_mut(&id)) else { continue };
             record.body = Some(Bytes::from_static(b"altered"));
@@ -287,9 +287,9 @@
                 Effect::Log(note, _) => self.notes.push(note),
                 Effect::Load { n, .. } => self.queue.push_back((id.clone(), Event::Loaded(n, None))),
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
-                Effect::Send(_, PeerMessage::Pull { asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.under_way.extend(all),
-                Effect::Send(_, PeerMessage::SubmitResponse { ask, word: SubmitOutcome::Accepted { .. }, .. }) => {
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, report, .. }) => self.answer(id, asked, report),
+                Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.under_way.extend(all),
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
                     self.accepted.push(name_of(ask))
                 }
                 Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
@@ -306,7 +306,7 @@
         if *from == daemon(KEEPER) && to == self.replica {
             self.sent_to_replica += size;
         }
-        let event = Event::MessageReceived { from: from.clone(), msg };
+        let event = Event::MessageReceived { from: from.clone(), message: msg };
         match self.delay {
             Span::ZERO => self.queue.push_back((to, event)),
             delay => self.late.push_back((self.now + delay, to, event)),
@@ -318,7 +318,7 @@
         let version = Version { term: TERM, count: 1 };
         let members = self.cores.iter().map(|(id, core)| {
             let zone = self.zone_of(id.as_str());
-            Member { disk: core.mark, ..member(id.as_str(), &zone) }
+            Member { disk_id: core.mark, ..member(id.as_str(), &zone) }
         });
         let placing = PartitionLocation { keeper: daemon(KEEPER), epoch: EPOCH };
         let items = vec![
@@ -331,10 +331,25 @@
             self.report = report.unwrap_or_default();
             let set = self.set.clone();
             let duty = Duty::Keep(place());
-            grants.push(Grant { duty, epoch: EPOCH, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None });
+            grants.push(Grant {
+                duty,
+                epoch: EPOCH,
+                write_set: set,
+                replacement: None,
+                replacement_number: Version::ZERO,
+                release_requested: false,
+                slot_range: None,
+            });
         }
-        let msg = PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: Some(Span::secs(2)),
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
     }
 
     /// A proxy hands a message in. Names are spread as hashes are.
@@ -347,30 +362,40 @@
             crc: crc32(&body),
             len: BODY as u32,
             route: "bulk".into(),
-            parcel: Some(Box::default()),
+            caller_request: Some(Box::default()),
             ..MessageHeader::default()
         };
         let msg = PeerMessage::Submit {
-            ask: number,
+            request_id: number,
             proxy: daemon("proxy-1"),
             via: None,
-            again: true,
-            place: place(),
+            wants_refusal: true,
+            partition: place(),
             version: Version { term: TERM, count: 1 },
-            head,
+            header: head,
             body,
-            stamp: Some(AgeBound { reading: Some(ClockReading { life: IncarnationId(1), at: self.now }), age: Span::ZERO }),
-            refuse: None,
+            age_bound: Some(AgeBound {
+                clock: Some(ClockReading { incarnation: IncarnationId(1), at: self.now }),
+                age: Span::ZERO,
+            }),
+            refusal: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
 
     /// The delivery says what it takes.
     fn say_room(&mut self) {
-        let reach = RoutedCapacity { life: IncarnationId(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
+        let reach =
+            RoutedCapacity { incarnation: IncarnationId(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
         let places = vec![(place(), EPOCH)];
-        let msg = PeerMessage::Capacity { asked: self.now, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::Capacity {
+            requested_at: self.now,
+            duties: Vec::new(),
+            partitions: places,
+            in_flight: Vec::new(),
+            routed: Some(reach),
+        };
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 
     /// A worker is done with a message; not always with the oldest.
@@ -378,16 +403,16 @@
         let at = (self.handed_in as usize * 7919) % self.under_way.len().max(1);
         let Some(offer) = self.under_way.remove(at) else { return };
         let one = AttemptResult {
-            place: place(),
-            id: offer.head.id,
+            partition: place(),
+            id: offer.header.id,
             epoch: offer.epoch,
             attempt: offer.attempt,
             stage: offer.stage,
-            told: AttemptOutcome::Success,
-            seal: "seal".into(),
+            outcome: AttemptOutcome::Success,
+            completion_token: "seal".into(),
             ended_ago: Span::ZERO,
         };
-        let msg = PeerMessage::AttemptResults { all: vec![one] };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::AttemptResults { entries: vec![one] };
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 }
--- a/crates/waitlist/tests/pair/mod.rs
+++ b/crates/waitlist/tests/pair/mod.rs
@@ -15,7 +15,7 @@
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
 pub fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
 }
 
 pub fn epoch() -> Epoch {
@@ -37,7 +37,7 @@
 impl Pair {
     pub fn new() -> Pair {
         let store = |n: u64| {
-            let me = Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
+            let me = Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
             Store::new(startup(me), &Vec::new(), IncarnationId(n), NOW).0
         };
         let mut pair = Pair {
@@ -64,16 +64,16 @@
                     self.step(at, Event::Saved(n));
                 }
                 Effect::Send(_, PeerMessage::FetchBodies { ids, .. }) => self.wanted.extend(ids),
-                Effect::Send(_, PeerMessage::SubmitResponse { word, .. }) => self.told.push(word),
+                Effect::Send(_, PeerMessage::SubmitResponse { outcome: word, .. }) => self.told.push(word),
                 Effect::Send(to, msg) if to == daemon(&format!("store-{}", 2 - at)) => {
                     let from = daemon(&format!("store-{}", at + 1));
-                    self.step(1 - at, Event::MessageReceived { from, msg });
+                    self.step(1 - at, Event::MessageReceived { from, message: msg });
                 }
-                Effect::Send(to, PeerMessage::Pull { asked, .. }) => {
+                Effect::Send(to, PeerMessage::Pull { requested_at: asked, .. }) => {
                     let msg = self.news(at, asked);
-                    self.step(at, Event::MessageReceived { from: to, msg });
+                    self.step(at, Event::MessageReceived { from: to, message: msg });
                 }
-                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.offers.extend(all),
+                Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.offers.extend(all),
                 _ => {}
             }
         }
@@ -81,7 +81,7 @@
 
     pub fn news(&self, at: usize, asked: Time) -> PeerMessage {
         let version = Version { term: TERM, count: 1 };
-        let member_of = |n: u64| Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
+        let member_of = |n: u64| Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
         let placing = PartitionLocation { keeper: daemon("store-1"), epoch: epoch() };
         let items = vec![
             (version, Update::Charter(ROUTES.to_string())),
@@ -90,9 +90,24 @@
         ];
         let set = (1..=2).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         let duty = Duty::Keep(place());
-        let grant = Grant { duty, epoch: epoch(), set, swap: None, swap_number: Version::ZERO, shed: false, slice: None };
+        let grant = Grant {
+            duty,
+            epoch: epoch(),
+            write_set: set,
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
+        };
         let grants = if at == 0 { vec![grant] } else { Vec::new() };
-        PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
+        PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: Some(Span::secs(2)),
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        }
     }
 
     pub fn run(&mut self, span: Span) {
@@ -113,30 +128,39 @@
             crc: crc32(&body),
             len: body.len() as u32,
             route: "bulk".into(),
-            parcel: Some(Box::default()),
+            caller_request: Some(Box::default()),
             ..MessageHeader::default()
         };
         let msg = PeerMessage::Submit {
-            ask: 1,
+            request_id: 1,
             proxy: daemon("proxy-1"),
             via: None,
-            again: true,
-            place: place(),
+            wants_refusal: true,
+            partition: place(),
             version: Version { term: TERM, count: 1 },
-            head,
+            header: head,
             body,
-            stamp: Some(AgeBound { reading: Some(ClockReading { life: IncarnationId(1), at: self.now }), age: Span::ZERO }),
-            refuse: None,
+            age_bound: Some(AgeBound {
+                clock: Some(ClockReading { incarnation: IncarnationId(1), at: self.now }),
+                age: Span::ZERO,
+            }),
+            refusal: None,
         };
-        self.step(0, Event::MessageReceived { from: daemon("proxy-1"), msg });
+        self.step(0, Event::MessageReceived { from: daemon("proxy-1"), message: msg });
         std::mem::take(&mut self.told)
     }
 
     /// The delivery, in one of its lives, says what it takes.
     pub fn reach(&mut self, life: IncarnationId, asked: Time) {
-        let reach = RoutedCapacity { life, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
+        let reach = RoutedCapacity { incarnation: life, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
         let places = vec![(place(), epoch())];
-        let msg = PeerMessage::Capacity { asked, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
-        self.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg });
+        let msg = PeerMessage::Capacity {
+            requested_at: asked,
+            duties: Vec::new(),
+            partitions: places,
+            in_flight: Vec::new(),
+            routed: Some(reach),
+        };
+        self.step(0, Event::MessageReceived { from: daemon("delivery-1"), message: msg });
     }
 }
--- a/crates/waitlist/tests/released.rs
+++ b/crates/waitlist/tests/released.rs
@@ -22,10 +22,22 @@
 /// The delivery tells how the attempt ended.
 fn tell(pair: &mut Pair, told: AttemptOutcome) {
     let offer = pair.offers.last().unwrap();
-    let (place, id, stage) = (place(), offer.head.id.clone(), offer.stage);
+    let (place, id, stage) = (place(), offer.header.id.clone(), offer.stage);
     let (epoch, attempt) = (offer.epoch, offer.attempt);
-    let one = AttemptResult { place, id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
-    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } });
+    let one = AttemptResult {
+        partition: place,
+        id,
+        epoch,
+        attempt,
+        stage,
+        outcome: told,
+        completion_token: "seal".into(),
+        ended_ago: Span::ZERO,
+    };
+    pair.step(
+        0,
+        Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![one] } },
+    );
 }
 
 fn record(pair: &Pair, at: usize) -> &Rec {
@@ -41,7 +53,7 @@
         assert_eq!(pair.stores[at].held_bytes, 0, "store {at}");
         let record = record(&pair, at);
         assert_eq!(record.stage, Stage::Ended(Outcome::Succeeded));
-        assert_eq!((record.head.len, &record.head.parcel, record.head.seal.as_str()), (0, &None, "seal"));
+        assert_eq!((record.head.len, &record.head.caller_request, record.head.completion_token.as_str()), (0, &None, "seal"));
     }
 }
 
@@ -70,15 +82,21 @@
     let mut pair = accepted();
     tell(&mut pair, AttemptOutcome::Success);
     let digest = pair.stores[0].parts[&place()].digest();
-    let me = Member { disk: IncarnationId(3), ..member("store-3", "z3") };
+    let me = Member { disk_id: IncarnationId(3), ..member("store-3", "z3") };
     let (mut third, _) = Store::new(startup(me), &Vec::new(), IncarnationId(3), pair.now);
     let from = daemon("store-1");
-    let hear = |msg| Event::MessageReceived { from: from.clone(), msg };
+    let hear = |msg| Event::MessageReceived { from: from.clone(), message: msg };
     third.step(
-        hear(PeerMessage::Lagging { place: place(), epoch: epoch(), was: None, mark: IncarnationId(3), short: true }),
+        hear(PeerMessage::Lagging {
+            partition: place(),
+            epoch: epoch(),
+            expected: None,
+            disk_id: IncarnationId(3),
+            must_fetch: true,
+        }),
         pair.now,
     );
-    let said = third.step(hear(PeerMessage::WholeCopy { place: place(), epoch: epoch(), digest }), pair.now);
+    let said = third.step(hear(PeerMessage::WholeCopy { partition: place(), epoch: epoch(), snapshot: digest }), pair.now);
     assert!(!said.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::FetchBodies { .. }))), "{said:?}");
     assert_eq!(third.parts[&place()].recs[&id()].stage, Stage::Ended(Outcome::Succeeded));
 }
@@ -91,12 +109,21 @@
     tell(&mut pair, AttemptOutcome::Success);
     let next = Epoch { term: TERM, count: 2 };
     let from = daemon("store-9");
-    let hear = |msg| Event::MessageReceived { from: from.clone(), msg };
-    pair.step(1, hear(PeerMessage::Lagging { place: place(), epoch: next, was: None, mark: IncarnationId(2), short: false }));
-    pair.step(1, hear(PeerMessage::WholeCopy { place: place(), epoch: next, digest: before }));
+    let hear = |msg| Event::MessageReceived { from: from.clone(), message: msg };
+    pair.step(
+        1,
+        hear(PeerMessage::Lagging {
+            partition: place(),
+            epoch: next,
+            expected: None,
+            disk_id: IncarnationId(2),
+            must_fetch: false,
+        }),
+    );
+    pair.step(1, hear(PeerMessage::WholeCopy { partition: place(), epoch: next, snapshot: before }));
     assert!(pair.wanted.contains(&id()), "the bytes are not asked for");
     let all = vec![(id(), Bytes::from_static(b"body"))];
-    pair.step(1, hear(PeerMessage::Bodies { place: place(), epoch: next, all }));
+    pair.step(1, hear(PeerMessage::Bodies { partition: place(), epoch: next, entries: all }));
     assert_eq!(record(&pair, 1).stage, Stage::Pending);
     assert_eq!(record(&pair, 1).body.as_deref(), Some(&b"body"[..]));
     assert_eq!(pair.stores[1].held_bytes, 4);
@@ -107,7 +134,7 @@
     let mut pair = accepted();
     tell(&mut pair, AttemptOutcome::Success);
     let files: Vec<(String, Bytes)> = pair.files[0].clone().into_iter().collect();
-    let me = Member { disk: IncarnationId(1), ..member("store-1", "z1") };
+    let me = Member { disk_id: IncarnationId(1), ..member("store-1", "z1") };
     let (store, _) = Store::new(startup(me), &files, IncarnationId(8), pair.now);
     assert_eq!(store.held_bytes, 0);
     let record = &store.parts[&place()].recs[&id()];
--- a/crates/waitlist/tests/replacement.rs
+++ b/crates/waitlist/tests/replacement.rs
@@ -15,7 +15,7 @@
 const NEIGHBOUR: &str = "store-9";
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 0 }
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 }
 }
 
 fn in_own_zone(name: &str) -> Member {
@@ -91,12 +91,12 @@
         for effect in out {
             match effect {
                 Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Send(_, PeerMessage::Pull { asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Send(_, PeerMessage::SubmitResponse { ask, word: SubmitOutcome::Accepted { .. }, .. }) => {
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, report, .. }) => self.answer(id, asked, report),
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
                     self.accepted.insert(ask);
                 }
                 Effect::Send(to, msg) if self.cores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), msg }));
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message: msg }));
                 }
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
@@ -105,7 +105,7 @@
     }
     /// Answers a pull as placement does: members, and the keeper's grant.
     fn answer(&mut self, to: &Daemon, asked: Time, report: Option<Report>) {
-        let members = self.cores.iter().map(|(d, core)| Member { disk: core.mark, ..in_own_zone(d.as_str()) }).collect();
+        let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.mark, ..in_own_zone(d.as_str()) }).collect();
         let version = Version { term: Term(1), count: 1 };
         let rules = json_of_rules();
         let listed = Version { count: self.starts, ..version };
@@ -119,11 +119,26 @@
             };
             let duty = Duty::Keep(place());
             let epoch = Epoch { term: Term(1), count: self.epoch };
-            grants.push(Grant { duty, epoch, set: self.set.clone(), swap, swap_number, shed: false, slice: None });
+            grants.push(Grant {
+                duty,
+                epoch,
+                write_set: self.set.clone(),
+                replacement: swap,
+                replacement_number: swap_number,
+                release_requested: false,
+                slot_range: None,
+            });
         }
         let fresh = Some(Span::millis(2_500));
-        let msg = PeerMessage::PullResponse { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: Term(1),
+            config_valid_for: fresh,
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
     }
     fn drain(&mut self) {
         while let Some((id, event)) = self.queue.pop_front() {
@@ -146,18 +161,18 @@
         let id = MessageId(format!("m{ask}"));
         let head = MessageHeader { id, crc: crc32(&body), len: body.len() as u32, ..MessageHeader::default() };
         let msg = PeerMessage::Submit {
-            ask,
+            request_id: ask,
             proxy: daemon("proxy-1"),
             via: None,
-            again: false,
-            place: place(),
+            wants_refusal: false,
+            partition: place(),
             version: Version::ZERO,
-            head,
+            header: head,
             body,
-            stamp: None,
-            refuse: None,
+            age_bound: None,
+            refusal: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
     /// Hands messages to the keeper; all are accepted.
     fn hand_in(&mut self, count: u64) {
@@ -176,7 +191,7 @@
         let Some((_, joiner, n)) = &self.swap else { return false };
         let number = Version { term: Term(1), count: *n };
         let whole = (place(), joiner.clone(), self.mark(joiner.as_str()));
-        self.report.swaps.contains(&(place(), number)) && self.report.whole.contains(&whole)
+        self.report.replacement_numbers.contains(&(place(), number)) && self.report.complete_copies.contains(&whole)
     }
     fn has(&self, name: &str) -> usize {
         self.cores[&daemon(name)].parts.get(&place()).map_or(0, |p| p.recs.len())
@@ -218,7 +233,7 @@
     // The one that was to leave is back, and what follows stands on it alone.
     s.swap = None;
     s.run(600);
-    assert_eq!((s.report.whole.len(), s.report.swaps.len()), (0, 0));
+    assert_eq!((s.report.complete_copies.len(), s.report.replacement_numbers.len()), (0, 0));
     s.cut.insert(daemon(THIRD));
     s.hand_in(10);
     assert_eq!((s.has(LEAVER), s.has(JOINER)), (15, 5));
@@ -308,7 +323,7 @@
     s.start_empty(LEAVER, fresh);
     s.cut.clear();
     s.run(1_500);
-    assert!(s.report.whole.contains(&(place(), daemon(LEAVER), fresh)), "the lost disk is never made whole");
+    assert!(s.report.complete_copies.contains(&(place(), daemon(LEAVER), fresh)), "the lost disk is never made whole");
     s.set[1] = (daemon(LEAVER), fresh);
     s.run(1_500);
     assert_eq!((s.keeper().phase, s.has(LEAVER)), (Phase::Serving, 20));
--- a/crates/waitlist/tests/settings/mod.rs
+++ b/crates/waitlist/tests/settings/mod.rs
@@ -11,8 +11,8 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: IncarnationId(1),
-        disk: IncarnationId(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
--- a/crates/waitlist/tests/spread_mates.rs
+++ b/crates/waitlist/tests/spread_mates.rs
@@ -14,7 +14,7 @@
   "routes":[{"name":"r","host":"h","prefix":"/a/","service":"s","attempts":3,"attempt_ms":1000,"verdict_ms":80}]}"#;
 
 fn in_own_zone(name: &str) -> Member {
-    Member { disk: IncarnationId(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
+    Member { disk_id: IncarnationId(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
 }
 
 /// Three stores; what one of them says comes a step later.
@@ -40,7 +40,7 @@
         };
         for name in [KEEPER, FAST, SLOW] {
             let me = in_own_zone(name);
-            let mark = me.disk;
+            let mark = me.disk_id;
             let settings = Startup { pull: Span::millis(300), seed: mark.0, ..startup(me) };
             let (core, out) = Store::new(settings, &Vec::new(), mark, stores.now);
             stores.cores.insert(daemon(name), core);
@@ -53,10 +53,10 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Send(_, PeerMessage::Pull { asked, .. }) => self.answer(id, asked),
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => self.answer(id, asked),
                 Effect::Send(to, msg) if self.cores.contains_key(&to) => {
                     self.copies += usize::from(matches!(msg, PeerMessage::FetchCopy { .. }));
-                    let event = Event::MessageReceived { from: id.clone(), msg };
+                    let event = Event::MessageReceived { from: id.clone(), message: msg };
                     match id.as_str() == SLOW {
                         true => self.late.push_back((to, event)),
                         false => self.queue.push_back((to, event)),
@@ -72,22 +72,29 @@
     fn answer(&mut self, to: &Daemon, asked: Time) {
         let version = Version { term: Term(1), count: 1 };
         let members: Vec<Member> = [KEEPER, FAST, SLOW].map(in_own_zone).to_vec();
-        let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk)).collect();
+        let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
         let items = vec![(version, Update::Members(members)), (version, Update::Charter(CHARTER.to_string()))];
         let grant = |part: u32| Grant {
             duty: Duty::Keep(Rules::spool_place(part)),
             epoch: Epoch { term: Term(1), count: self.epoch },
-            set: set.clone(),
-            swap: None,
-            swap_number: Version::ZERO,
-            shed: false,
-            slice: None,
+            write_set: set.clone(),
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
         };
         let granted = if to.as_str() == KEEPER { PARTITIONS } else { 0 };
         let grants = (0..granted).map(grant).collect();
         let fresh = Some(Span::millis(2_500));
-        let msg = PeerMessage::PullResponse { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: Term(1),
+            config_valid_for: fresh,
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
     }
 
     fn drain(&mut self) {
@@ -146,18 +153,18 @@
         let id = MessageId(format!("m{part}"));
         let head = MessageHeader { id, crc: crc32(&body), len: 4, ..MessageHeader::default() };
         let msg = PeerMessage::Submit {
-            ask: u64::from(part),
+            request_id: u64::from(part),
             proxy: daemon("proxy-1"),
             via: None,
-            again: false,
-            place: Rules::spool_place(part),
+            wants_refusal: false,
+            partition: Rules::spool_place(part),
             version: Version::ZERO,
-            head,
+            header: head,
             body,
-            stamp: None,
-            refuse: None,
+            age_bound: None,
+            refusal: None,
         };
-        stores.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), msg }));
+        stores.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
     stores.run(1_000);
     stores.epoch = 2;
--- a/crates/waitlist/tests/success_and_news.rs
+++ b/crates/waitlist/tests/success_and_news.rs
@@ -41,9 +41,21 @@
 
 fn tell(pair: &mut Pair, told: AttemptOutcome) {
     let offer = &pair.offers[0];
-    let (id, stage, epoch, attempt) = (offer.head.id.clone(), offer.stage, offer.epoch, offer.attempt);
-    let one = AttemptResult { place: place(), id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
-    pair.step(0, Event::MessageReceived { from: daemon("delivery-1"), msg: PeerMessage::AttemptResults { all: vec![one] } });
+    let (id, stage, epoch, attempt) = (offer.header.id.clone(), offer.stage, offer.epoch, offer.attempt);
+    let one = AttemptResult {
+        partition: place(),
+        id,
+        epoch,
+        attempt,
+        stage,
+        outcome: told,
+        completion_token: "seal".into(),
+        ended_ago: Span::ZERO,
+    };
+    pair.step(
+        0,
+        Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![one] } },
+    );
 }
 
 fn change(pair: &mut Pair, change: Change) {
--- a/crates/waitlist/tests/trio/mod.rs
+++ b/crates/waitlist/tests/trio/mod.rs
@@ -14,11 +14,11 @@
 }
 
 pub fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
+    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 1 }
 }
 
 pub fn numbered(n: u64) -> Member {
-    Member { disk: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
+    Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
 }
 
 pub fn settings_of(n: u64) -> Startup {
@@ -108,33 +108,49 @@
             (version(self.epoch), Update::Partitions(vec![(place(), placing)])),
         ];
         let set = (1..=3).map(|n| (store(n), IncarnationId(n))).collect();
-        let grant =
-            Grant { duty: Duty::Keep(place()), epoch, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None };
+        let grant = Grant {
+            duty: Duty::Keep(place()),
+            epoch,
+            write_set: set,
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
+        };
         let grants = if *to == store(self.keeper) { vec![grant] } else { Vec::new() };
-        PeerMessage::PullResponse { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
+        PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: Some(Span::secs(2)),
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        }
     }
 
     pub fn obey(&mut self, from: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
                 Effect::Send(to, msg) if self.stores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::MessageReceived { from: from.clone(), msg }));
+                    self.queue.push_back((to, Event::MessageReceived { from: from.clone(), message: msg }));
+                }
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: word, .. }) => {
+                    _ = self.told.insert(ask, word)
                 }
-                Effect::Send(_, PeerMessage::SubmitResponse { ask, word, .. }) => _ = self.told.insert(ask, word),
-                Effect::Send(_, PeerMessage::Offers { all, .. }) => self.offers.extend(all),
-                Effect::Send(_, PeerMessage::LookupResponse { found, .. }) => self.shown = Some(found),
-                Effect::Send(to, PeerMessage::ResultsRecorded { all }) => {
+                Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.offers.extend(all),
+                Effect::Send(_, PeerMessage::LookupResponse { result: found, .. }) => self.shown = Some(found),
+                Effect::Send(to, PeerMessage::ResultsRecorded { entries: all }) => {
                     self.noted.extend(all.into_iter().map(|(_, _, attempt)| (to.clone(), attempt)));
                 }
-                Effect::Send(to, PeerMessage::Pull { asked, report: Some(report), .. }) => {
-                    let given = report.gave.iter().any(|(_, epoch)| epoch.count == self.epoch);
+                Effect::Send(to, PeerMessage::Pull { requested_at: asked, report: Some(report), .. }) => {
+                    let given = report.released.iter().any(|(_, epoch)| epoch.count == self.epoch);
                     self.reports.insert(from.clone(), report);
                     if given {
                         self.epoch += 1;
                         self.keeper = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.keeper);
                     }
                     let msg = self.news(asked, from);
-                    self.queue.push_back((from.clone(), Event::MessageReceived { from: to, msg }));
+                    self.queue.push_back((from.clone(), Event::MessageReceived { from: to, message: msg }));
                 }
                 Effect::Save { n, .. } => match &mut self.disks.get_mut(from).unwrap().waiting {
                     Some(waiting) => waiting.push(n),
@@ -183,28 +199,28 @@
             seq: 0,
             crc: crc32(&body),
             len: body.len() as u32,
-            desk: String::new(),
+            callback: String::new(),
             ttl: None,
             route: String::new(),
-            parcel: None,
-            born: 0,
+            caller_request: None,
+            accepted_unix_micros: 0,
             delay: Span::ZERO,
-            seal: String::new(),
+            completion_token: String::new(),
         };
-        let reading = Some(ClockReading { life: IncarnationId(1), at: self.now });
+        let reading = Some(ClockReading { incarnation: IncarnationId(1), at: self.now });
         let msg = PeerMessage::Submit {
-            ask,
+            request_id: ask,
             proxy: daemon("proxy-1"),
             via: None,
-            again: false,
-            place: place(),
+            wants_refusal: false,
+            partition: place(),
             version: Version { term: TERM, count: 1 },
-            head,
+            header: head,
             body,
-            stamp: Some(AgeBound { reading, age: Span::ZERO }),
-            refuse: None,
+            age_bound: Some(AgeBound { clock: reading, age: Span::ZERO }),
+            refusal: None,
         };
-        self.queue.push_back((store(to), Event::MessageReceived { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((store(to), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
         self.settle();
     }
 
--- a/crates/wire/src/copy.rs
+++ b/crates/wire/src/copy.rs
@@ -9,9 +9,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyPosition {
     /// The last record received.
-    pub after: MessageId,
+    #[serde(rename = "after")]
+    pub last_id: MessageId,
     /// The operation at which the records up to it stand.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub last_op: u64,
 }
 
 /// Asks for the next part.
@@ -36,9 +38,11 @@
     /// The next records, by name, without their bytes.
     pub records: Vec<(MessageHeader, Stage)>,
     /// The operation at which all of this stands.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub last_op: u64,
     /// The next place in the partition's order.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_seq: u64,
     /// No records come after these.
     pub complete: bool,
 }
--- a/crates/wire/src/log_event.rs
+++ b/crates/wire/src/log_event.rs
@@ -15,7 +15,7 @@
             pub const ALL: &'static [LogEvent] = &[$(LogEvent::$name,)*];
             pub fn number(self) -> u16 { self as u16 }
             pub fn level(self) -> Level { match self { $(LogEvent::$name => Level::$level,)* } }
-            pub fn what(self) -> &'static str { match self { $(LogEvent::$name => $what,)* } }
+            pub fn description(self) -> &'static str { match self { $(LogEvent::$name => $what,)* } }
         }
     };
 }
--- a/programs/src/fleet/soak.rs
+++ b/programs/src/fleet/soak.rs
@@ -138,7 +138,7 @@
 /// that is always a fault.
 pub fn violations(folder: &Path) -> std::io::Result<Vec<String>> {
     let events = [LogEvent::AttemptOverran, LogEvent::EndedMessageDequeued, LogEvent::StrandedMessageRequeued]
-        .map(|note| format!(" {} {}", note.number(), note.what()));
+        .map(|note| format!(" {} {}", note.number(), note.description()));
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
