--- a/crates/wire/src/compressed_text.rs
+++ b/crates/wire/src/compressed_text.rs
@@ -1,4 +1,4 @@
-//! A long text that is sent to many, compressed once.
+//! A long text that is compressed once and sent to many daemons.
 use crate::prelude::*;
 
 /// Zstandard's usual level.
--- a/crates/wire/src/log_event.rs
+++ b/crates/wire/src/log_event.rs
@@ -1,4 +1,4 @@
-//! Numbered events. The catalogue is docs/events.md; a test holds the two together.
+//! Numbered events. The catalogue is docs/events.md; a test checks that both agree.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
@@ -7,7 +7,7 @@
     Info,
 }
 
-macro_rules! notes {
+macro_rules! log_events {
     ($($name:ident = $num:literal $level:ident $what:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum LogEvent { $($name = $num,)* }
@@ -20,7 +20,7 @@
     };
 }
 
-notes! {
+log_events! {
     Started = 100 Info "daemon started";
     Stopping = 101 Info "told to stop; draining";
     Stopped = 102 Info "stopped";
--- a/crates/wire/src/tolerance.rs
+++ b/crates/wire/src/tolerance.rs
@@ -1,7 +1,7 @@
-//! What may be lost at the same time with every promise kept.
+//! How many machines, zones and regions may fail at once without breaking a guarantee.
 use crate::prelude::*;
 
-/// Losses to be borne at once, as the deployment states them.
+/// Simultaneous failures that the deployment has to tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tolerance {
