--- a/crates/checker/src/routed.rs
+++ b/crates/checker/src/routed.rs
@@ -6,8 +6,8 @@
 mod answered;
 mod backs;
 mod budget;
-mod charters;
 mod cold;
+mod configs;
 mod drained;
 mod early;
 mod emptied;
@@ -25,9 +25,9 @@
 pub struct RoutedLimits {
     /// A daemon is in touch again so long after trouble on it.
     pub contact: Span,
-    /// After its acknowledgement, until a charter is in force everywhere.
+    /// After its acknowledgement, until a configuration is in force everywhere.
     pub in_force: Span,
-    /// After a worker saw a charter's effect, its sender may still act by an
+    /// After a worker saw a configuration's effect, its sender may still act by an
     /// older one for so long.
     pub back_slack: Span,
     pub drain: Span,
@@ -86,7 +86,7 @@
     ("cold", cold::watch),
     ("drained", drained::watch),
     ("emptied", emptied::watch),
-    ("charters", charters::watch),
+    ("charters", configs::watch),
     ("answered", answered::watch),
     ("early", early::watch),
 ];
--- a/crates/checker/src/routed/budget.rs
+++ b/crates/checker/src/routed/budget.rs
@@ -2,7 +2,7 @@
 use crate::prelude::*;
 
 /// More answers than the stated attempts may be needed after a change of
-/// keeper, which may not know of all before it; never so many times as many.
+/// leader, which may not know of all before it; never so many times as many.
 const SLACK: usize = 3;
 
 pub fn watch(seen: &Seen, _: &RoutedLimits, _: Time) -> Vec<String> {
--- a/crates/checker/src/routed/charters.rs
+++ b/crates/checker/src/routed/configs.rs
@@ -1,8 +1,8 @@
-//! An acknowledged charter is in force everywhere soon after, and a daemon
+//! An acknowledged configuration is in force everywhere soon after, and a daemon
 //! that has shown it does not go back; invalid and losing ones never are.
 use crate::prelude::*;
 
-/// Every way a request or a run shows which charter a daemon obeyed.
+/// Every way a request or a run shows which configuration a daemon obeyed.
 struct Sign<'a> {
     at: Time,
     who: &'a str,
@@ -31,12 +31,12 @@
 
 pub fn watch(seen: &Seen, limits: &RoutedLimits, _: Time) -> Vec<String> {
     let mut bad = Vec::new();
-    for c in seen.charters.iter().filter(|c| c.acked.is_some()) {
+    for c in seen.configs.iter().filter(|c| c.acked.is_some()) {
         if !c.valid {
             bad.push(format!("revision {} is invalid and was acknowledged", c.revision));
         }
         let twin =
-            seen.charters.iter().find(|x| x.acked.is_some() && x.base == c.base && x.revision < c.revision && x.text != c.text);
+            seen.configs.iter().find(|x| x.acked.is_some() && x.base == c.base && x.revision < c.revision && x.text != c.text);
         bad.extend(
             twin.map(|x| format!("revisions {} and {} were both acknowledged on top of {}", x.revision, c.revision, c.base)),
         );
@@ -50,10 +50,10 @@
     let mut shown: BTreeMap<(&str, u64), Vec<(Time, u64)>> = BTreeMap::new();
     for s in &all {
         let fit: Vec<u64> =
-            seen.charters.iter().filter(|c| c.possible() && c.sent <= s.at && (s.fits)(c)).map(|c| c.revision).collect();
-        // A charter acknowledged after the request came is obeyed or not.
+            seen.configs.iter().filter(|c| c.possible() && c.sent <= s.at && (s.fits)(c)).map(|c| c.revision).collect();
+        // A configuration acknowledged after the request came is obeyed or not.
         let allowed = seen.in_force(s.sent, limits.in_force);
-        let later = seen.charters.iter().filter(|c| c.possible() && c.sent > s.sent && c.sent <= s.at);
+        let later = seen.configs.iter().filter(|c| c.possible() && c.sent > s.sent && c.sent <= s.at);
         let fresh = allowed.into_iter().chain(later).any(|c| (s.fits)(c));
         if !fresh && seen.touch(s.who, s.sent, s.at, limits.contact) {
             bad.push(format!("at {} ms {} {}, as only an older charter has it (fits {fit:?})", s.at.0 / 1000, s.who, s.what));
--- a/crates/checker/src/routed/seen.rs
+++ b/crates/checker/src/routed/seen.rs
@@ -86,7 +86,7 @@
     pub runs: Vec<PostRun>,
     pub sought: Vec<Sought>,
     pub backs: Vec<Back>,
-    /// Sent only to see which charter is in force.
+    /// Sent only to see which configuration is in force.
     pub trial: bool,
 }
 
@@ -108,7 +108,7 @@
     pub call_back: bool,
 }
 
-/// One charter as an operator sent it.
+/// One configuration as an operator sent it.
 #[derive(Clone, Debug)]
 pub struct Stated {
     pub revision: u64,
@@ -175,7 +175,7 @@
 pub struct Seen {
     pub posts: Vec<Post>,
     pub by_id: BTreeMap<String, usize>,
-    pub charters: Vec<Stated>,
+    pub configs: Vec<Stated>,
     pub workers: BTreeMap<String, WorkerSeen>,
     pub services: BTreeMap<String, Pace>,
     /// Arrivals at fixed addresses, by service.
@@ -191,7 +191,7 @@
     pub stopped: Option<Time>,
     /// Some machine tells the time of day wrongly.
     pub days_apart: bool,
-    /// When anything was done to workers, receivers or charters.
+    /// When anything was done to workers, receivers or configurations.
     pub acts: Vec<Time>,
     pub flags: Vec<String>,
 }
@@ -221,16 +221,16 @@
     pub fn last_trouble(&self) -> Time {
         self.troubles.iter().map(|t| t.to).chain(self.acts.iter().copied()).max().unwrap_or_default()
     }
-    /// Charters that may be in force at `t`, of those sent before it: the
+    /// Configurations that may be in force at `t`, of those sent before it: the
     /// newest acknowledged `since` ago, and whatever may have come after.
     pub fn in_force(&self, t: Time, since: Span) -> Vec<&Stated> {
-        let sure = self.charters.iter().filter(|c| c.acked.is_some_and(|a| a + since <= t)).map(|c| c.revision).max();
+        let sure = self.configs.iter().filter(|c| c.acked.is_some_and(|a| a + since <= t)).map(|c| c.revision).max();
         let from = sure.unwrap_or(0);
-        self.charters.iter().filter(|c| c.possible() && c.revision >= from && c.sent <= t).collect()
+        self.configs.iter().filter(|c| c.possible() && c.revision >= from && c.sent <= t).collect()
     }
-    /// The routes any possible charter gives a path.
+    /// The routes any possible configuration gives a path.
     pub fn routes<'a>(&'a self, path: &'a str) -> impl Iterator<Item = &'a RouteSeen> {
-        self.charters.iter().filter(|c| c.possible()).filter_map(|c| c.matched(path))
+        self.configs.iter().filter(|c| c.possible()).filter_map(|c| c.matched(path))
     }
     /// The earliest moment at which a message may count as ended.
     pub fn ended(&self, p: &Post) -> Option<Time> {
@@ -245,11 +245,11 @@
     pub fn worth(&self, p: &Post) -> Span {
         self.routes(&p.path).map(|r| r.worth).min().unwrap_or(Span::ZERO)
     }
-    /// When a charter that may be in force dropped its route.
+    /// When a configuration that may be in force dropped its route.
     pub fn dropped(&self, p: &Post) -> Option<Time> {
         let names: BTreeSet<&str> = self.routes(&p.path).map(|r| r.name.as_str()).collect();
         let standing = self.in_force(p.sent, Span::ZERO);
-        let later = self.charters.iter().filter(|c| c.possible() && c.sent > p.sent);
+        let later = self.configs.iter().filter(|c| c.possible() && c.sent > p.sent);
         let gone = |c: &&Stated| c.matched(&p.path).is_none_or(|r| !names.contains(r.name.as_str()));
         standing.into_iter().chain(later).filter(gone).map(|c| c.sent.max(p.sent)).min()
     }
@@ -261,7 +261,7 @@
         let mut failures: Vec<Time> = p.runs.iter().filter(failed).filter_map(|r| r.read).collect();
         failures.sort();
         let most = self.routes(&p.path).map(|r| r.attempts).max().unwrap_or(1).max(1) as usize;
-        // A keeper that is new may not know of failures before it.
+        // A leader that is new may not know of failures before it.
         let kept = |all: &[Time]| {
             let (from, to) = (all[0], all[all.len() - 1]);
             !self.troubles.iter().any(|t| t.who.is_none() && t.from <= to && t.to >= from)
--- a/crates/checker/tests/routed.rs
+++ b/crates/checker/tests/routed.rs
@@ -62,7 +62,7 @@
 /// Two messages of one key, run one after the other, with nothing wrong.
 fn day() -> Seen {
     let mut s = Seen::default();
-    s.charters.push(stated(2, 0, 0, Some(10), vec![route("turns", "s", true), route("bulk", "s", false)]));
+    s.configs.push(stated(2, 0, 0, Some(10), vec![route("turns", "s", true), route("bulk", "s", false)]));
     s.services.insert("s".into(), Pace { rate: 0.0, cold: 2.0 });
     for (n, id) in ["a", "b"].into_iter().enumerate() {
         let ms = 10_000 + 1000 * n as u64;
@@ -210,26 +210,26 @@
 }
 
 #[test]
-fn charters_come_into_force_and_stay() {
+fn configs_come_into_force_and_stay() {
     let newer = |s: &mut Seen| {
         let moved = route("turns", "t", true);
-        s.charters.push(stated(5, 2, 6000, Some(6010), vec![moved, route("bulk", "s", false)]));
+        s.configs.push(stated(5, 2, 6000, Some(6010), vec![moved, route("bulk", "s", false)]));
     };
     says(newer, "as only an older charter has it");
     let back = |s: &mut Seen| {
         let slower = RouteSeen { attempt: Span::secs(2), ..route("turns", "s", true) };
-        s.charters.push(stated(5, 2, 9000, Some(9010), vec![slower]));
+        s.configs.push(stated(5, 2, 9000, Some(9010), vec![slower]));
         s.posts[0].runs[0].span = Span::secs(2);
     };
     says(back, "after it acted by 5");
     says(|s| s.posts[0].word = Some((at(10_005), PostWord::Refused(404))), "refused as no route");
     let twins = |s: &mut Seen| {
-        let routes = s.charters[0].routes.clone();
-        s.charters.push(stated(5, 2, 15_000, Some(15_010), routes.clone()));
-        s.charters.push(stated(6, 2, 15_000, Some(15_010), routes));
+        let routes = s.configs[0].routes.clone();
+        s.configs.push(stated(5, 2, 15_000, Some(15_010), routes.clone()));
+        s.configs.push(stated(6, 2, 15_000, Some(15_010), routes));
     };
     says(twins, "were both acknowledged on top of 2");
-    says(|s| s.charters[0].valid = false, "is invalid and was acknowledged");
+    says(|s| s.configs[0].valid = false, "is invalid and was acknowledged");
 }
 
 #[test]
--- a/crates/charter/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes compiled: how a request is matched, and what is done with its message.
 use crate::prelude::*;
 
-/// The tenant and the waitlist in which routed messages are kept. No
+/// The tenant and the queue in which routed messages are kept. No
 /// operator's name can be these, as names have no such sign.
 pub const SPOOL: (&str, &str) = ("~", "spool");
 
@@ -20,7 +20,7 @@
     pub start: Span,
 }
 
-/// All routes of a charter. Invariant: of one host the prefixes stand longest
+/// All routes of a configuration. Invariant: of one host the prefixes stand longest
 /// first, so the first that fits is the one that is meant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Passages {
--- a/crates/charter/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -1,5 +1,5 @@
 //! Routes: how they match, what is wrong with them, how a patch changes them.
-use dw_charter::prelude::*;
+use dw_config::prelude::*;
 use expect_test::expect;
 use serde_json::{json, Value};
 
@@ -7,12 +7,12 @@
     json!({"name": name, "host": host, "prefix": prefix, "service": "huvo11a", "attempts": 4, "attempt_ms": 2500})
 }
 
-fn whole(routes: &[Value]) -> Charter {
+fn whole(routes: &[Value]) -> Config {
     let c = json!({"revision": 7, "routes": routes, "services": [{"name": "huvo11a", "rate": 39.0, "doc": "{}"}]});
-    dw_charter::check::read(&c.to_string()).unwrap()
+    dw_config::check::read(&c.to_string()).unwrap()
 }
 
-fn lines(c: &Charter) -> String {
+fn lines(c: &Config) -> String {
     let e = check(c).unwrap_err();
     let all: Vec<String> = e.faults().iter().map(|f| format!("{}: {}; {}", f.path, f.wrong, f.remedy)).collect();
     all.join("\n")
@@ -76,15 +76,15 @@
     c.revision = 0;
     assert!(lines(&c).contains("services[0].name"));
     let own = r#"{"templates": [{"name": "a b"}], "tenants": [{"name": "c d", "template": "a b", "share": 1}], "revision": 1}"#;
-    let own = dw_charter::check::read(own).unwrap();
+    let own = dw_config::check::read(own).unwrap();
     assert!(lines(&own).contains("templates[0].name") && lines(&own).contains("tenants[0].name"));
 }
 
 #[test]
-fn a_charter_or_patch_beyond_the_bound_is_not_read() {
-    let big = json!({"doc": "x".repeat(CHARTER_MAX)}).to_string();
-    for e in [dw_charter::check::read(&big).unwrap_err(), patch(&Charter::default(), &big).unwrap_err()] {
-        assert!(matches!(e, CharterError::Large { .. }), "{e}");
+fn a_config_or_patch_beyond_the_bound_is_not_read() {
+    let big = json!({"doc": "x".repeat(CONFIG_MAX)}).to_string();
+    for e in [dw_config::check::read(&big).unwrap_err(), patch(&Config::default(), &big).unwrap_err()] {
+        assert!(matches!(e, ConfigError::Large { .. }), "{e}");
         assert!(!e.faults()[0].remedy.is_empty());
     }
 }
@@ -105,8 +105,8 @@
 }
 
 #[test]
-fn routes_can_be_patched_into_a_charter_without_any() {
-    let c = Charter::default();
+fn routes_can_be_patched_into_a_config_without_any() {
+    let c = Config::default();
     let part = json!({"revision": 1, "services": [{"name": "huvo11a"}], "routes": [{"name": "x", "remove": true}, route("a", "h", "/")]});
     let next = patch(&c, &part.to_string()).unwrap();
     assert_eq!(next.routes.len(), 1);
@@ -115,7 +115,7 @@
 
 #[test]
 fn a_step_needs_a_higher_revision_and_the_same_spool() {
-    let rules = |revision: u64, spool: u32| compile(&Charter { revision, spool, ..Charter::default() }, Version::ZERO);
+    let rules = |revision: u64, spool: u32| compile(&Config { revision, spool, ..Config::default() }, Version::ZERO);
     let paths = |old: &Rules, new: &Rules| match check_change(old, new, |_| true) {
         Ok(()) => Vec::new(),
         Err(e) => e.faults().into_iter().map(|f| f.path).collect::<Vec<_>>(),
--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -58,11 +58,11 @@
     /// How long one attempt of a routed message may last; zero when its route
     /// is not in force.
     fn span_of(&self, o: &Offer) -> Span {
-        let by_charter = match o.stage {
+        let by_config = match o.stage {
             Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt),
             _ => CALLBACK_TIMEOUT,
         };
-        o.attempt_timeout(by_charter)
+        o.attempt_timeout(by_config)
     }
 
     /// Whether something is open under a duty of reach.
@@ -127,14 +127,14 @@
         w.usable(&self.link, now) && !w.gone && !w.sick.open(now) && !unasked
     }
 
-    /// How much of each service this daemon takes from each of `keepers`
-    /// stores; none while the charter has no routes.
-    pub(super) fn reach(&self, keepers: usize, now: Time) -> Option<RoutedCapacity> {
+    /// How much of each service this daemon takes from each of `leaders`
+    /// stores; none while the configuration has no routes.
+    pub(super) fn reach(&self, leaders: usize, now: Time) -> Option<RoutedCapacity> {
         if self.link.rules.routes.is_empty() {
             return None;
         }
         let shut = self.leaving.is_some() || self.hands.len() >= self.startup.hands_max;
-        let each = |n: u32| n.div_ceil(keepers.max(1) as u32);
+        let each = |n: u32| n.div_ceil(leaders.max(1) as u32);
         let mut services: BTreeMap<String, u32> = BTreeMap::new();
         for w in self.workers.values().filter(|w| !shut && self.fit(w, now) && self.may_reach(w, now)) {
             *services.entry(w.info.service.clone()).or_default() += self.slots_of(w);
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -1,7 +1,7 @@
-//! What this daemon takes from each keeper, and how it tells them.
+//! What this daemon takes from each leader, and how it tells them.
 use crate::prelude::*;
 
-/// What one keeper is told: room for each duty, and the epochs known.
+/// What one leader is told: room for each duty, and the epochs known.
 type Rooms = (Vec<Capacity>, Vec<(PartitionId, Epoch)>);
 
 impl Delivery {
@@ -10,7 +10,7 @@
             return 0;
         }
         match duty {
-            Duty::Keep(_) | Duty::TargetShard(_) => 0,
+            Duty::Lead(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(place) => {
                 let Some(rule) = self.link.rules.rule_of(place) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Tells each keeper how much it may hand over, and what is in hand.
+    /// Tells each leader how much it may hand over, and what is in hand.
     pub(super) fn send_rooms(&mut self, now: Time) {
         self.roomed = now;
         if !self.link.fresh(now) {
@@ -49,7 +49,7 @@
         }
         let mut by: BTreeMap<Daemon, Rooms> = BTreeMap::new();
         for (p, x) in &self.link.places {
-            by.entry(x.keeper.clone()).or_default().1.push((p.clone(), x.epoch));
+            by.entry(x.leader.clone()).or_default().1.push((p.clone(), x.epoch));
         }
         for (duty, epoch) in self.link.held.live(now) {
             if matches!(duty, Duty::TargetShard(_)) {
@@ -58,9 +58,9 @@
             let room = self.room(&duty, now);
             let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
             let one = Capacity { duty: duty.clone(), epoch, capacity: room, held_for: since };
-            for (keeper, (rooms, places)) in by.iter_mut() {
+            for (leader, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
-                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.keeper == *keeper),
+                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.leader == *leader),
                     _ => !places.is_empty(),
                 };
                 if here {
@@ -69,7 +69,7 @@
             }
         }
         let reach = self.reach(by.len(), now);
-        for (keeper, (duties, places)) in by {
+        for (leader, (duties, places)) in by {
             if duties.is_empty() && reach.is_none() {
                 continue;
             }
@@ -81,7 +81,7 @@
                 .map(|h| InFlightAttempt { partition: h.offer.partition.clone(), id: h.offer.header.id.clone() })
                 .collect();
             self.say(
-                &keeper,
+                &leader,
                 PeerMessage::Capacity {
                     requested_at: now,
                     duties,
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -90,7 +90,7 @@
     }
 
     /// The less loaded of two drawn at random, same zone first where the
-    /// charter says so. Of two that are alike the one left alone for longer:
+    /// configuration says so. Of two that are alike the one left alone for longer:
     /// chance alone would now and then give one of them all that comes in a
     /// second, which a worker that warms up must not get.
     pub(super) fn match_worker(&mut self, service: &str, slices: &[SlotRange], now: Time) -> Option<WorkerId> {
--- a/crates/delivery/tests/answers_and_news.rs
+++ b/crates/delivery/tests/answers_and_news.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
     /// Another store keeps the partition.
-    Keeper,
+    Leader,
     /// The worker is gone from the list.
     Worker,
     /// The route is dropped.
@@ -22,7 +22,7 @@
     Time,
 }
 
-const ALL: [Change; 6] = [Change::Keeper, Change::Worker, Change::Route, Change::Grant, Change::Stop, Change::Time];
+const ALL: [Change; 6] = [Change::Leader, Change::Worker, Change::Route, Change::Grant, Change::Stop, Change::Time];
 
 /// Every order of some changes.
 fn orders(rest: &[Change]) -> Vec<Vec<Change>> {
@@ -42,7 +42,7 @@
 
 /// An attempt that is under way at a worker.
 fn under_way() -> (Told, Known) {
-    let known = Known { keeper: 1, worker: true, route: true, granted: true };
+    let known = Known { leader: 1, worker: true, route: true, granted: true };
     let mut told = Told::new();
     told.tell(known);
     told.run(Span::millis(600));
@@ -54,7 +54,7 @@
 
 fn change(told: &mut Told, known: &mut Known, change: Change) {
     match change {
-        Change::Keeper => known.keeper = 2,
+        Change::Leader => known.leader = 2,
         Change::Worker => known.worker = false,
         Change::Route => known.route = false,
         Change::Grant => known.granted = false,
--- a/crates/delivery/tests/cold.rs
+++ b/crates/delivery/tests/cold.rs
@@ -9,7 +9,7 @@
 fn a_cold_worker_gets_a_part_of_what_it_bears_in_any_second() {
     let mut told = Told::new();
     (told.cold, told.slots) = (Span::secs(4), 64);
-    let known = Known { keeper: 1, worker: true, route: true, granted: true };
+    let known = Known { leader: 1, worker: true, route: true, granted: true };
     told.tell(known);
     told.run(Span::millis(100));
     let mut begun: Vec<Time> = Vec::new();
--- a/crates/delivery/tests/superseded.rs
+++ b/crates/delivery/tests/superseded.rs
@@ -1,4 +1,4 @@
-//! What a delivery does with attempts of a keeper that was replaced.
+//! What a delivery does with attempts of a leader that was replaced.
 mod told;
 use dw_delivery::prelude::{AttemptOutcome as End, Span};
 use told::Told;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_attempt_that_waits_never_begins_once_its_keeper_is_replaced() {
+fn an_attempt_that_waits_never_begins_once_its_leader_is_replaced() {
     let mut told = Told::new();
     told.news(1, 1);
     told.offer();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_attempt_under_way_goes_on_and_is_named_to_the_new_keeper() {
+fn an_attempt_under_way_goes_on_and_is_named_to_the_new_leader() {
     let mut told = Told::new();
     told.news(1, 2);
     told.run(Span::millis(600));
@@ -41,7 +41,7 @@
     assert_eq!(told.holding.len(), 1);
 }
 
-/// Its keeper would wait for the attempt's end, some seconds, to hand it out
+/// Its leader would wait for the attempt's end, some seconds, to hand it out
 /// again.
 #[test]
 fn an_offer_by_a_route_that_is_not_known_yet_goes_back_at_once() {
--- a/crates/delivery/tests/told/mod.rs
+++ b/crates/delivery/tests/told/mod.rs
@@ -15,7 +15,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 fn epoch(count: u64) -> Epoch {
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
     /// Which store keeps the partition.
-    pub keeper: u64,
+    pub leader: u64,
     /// The worker is on the list.
     pub worker: bool,
     /// The route is in force.
@@ -121,18 +121,18 @@
         }
     }
 
-    /// News of the partition's keeper, and of the worker from `workers` 2 on.
-    pub fn news(&mut self, keeper: u64, workers: u64) {
-        self.tell(Known { keeper, worker: workers > 1, route: true, granted: true });
+    /// News of the partition's leader, and of the worker from `workers` 2 on.
+    pub fn news(&mut self, leader: u64, workers: u64) {
+        self.tell(Known { leader, worker: workers > 1, route: true, granted: true });
     }
 
     pub fn tell(&mut self, known: Known) {
         self.told += 1;
         let version = Version { term: TERM, count: self.told };
-        let placing = PartitionLocation { keeper: daemon(&format!("store-{}", known.keeper)), epoch: epoch(known.keeper) };
-        let charter = if known.route { ROUTES } else { NO_ROUTES };
+        let placing = PartitionLocation { leader: daemon(&format!("store-{}", known.leader)), epoch: epoch(known.leader) };
+        let config = if known.route { ROUTES } else { NO_ROUTES };
         let items = vec![
-            (version, Update::Charter(charter.to_string())),
+            (version, Update::Config(config.to_string())),
             (version, Update::Members(vec![member("delivery-1"), member("store-1"), member("store-2")])),
             (version, Update::Partitions(vec![(place(), placing)])),
             (version, Update::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
@@ -165,7 +165,7 @@
         Worker { cold: self.cold, slots: self.slots, ..worker() }
     }
 
-    /// The first keeper hands out an attempt; no worker is there for it yet.
+    /// The first leader hands out an attempt; no worker is there for it yet.
     pub fn offer(&mut self) {
         self.offer_by("bulk");
     }
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -1,10 +1,10 @@
-//! Which worker an attempt of a waitlist goes to, where it must not get too
+//! Which worker an attempt of a queue goes to, where it must not get too
 //! many: one that warms up, or that may have started anew.
 use dw_delivery::prelude::*;
 
 const NOW: Time = Time::millis(10_000);
 const TERM: Term = Term(1);
-const CHARTER: &str = r#"{
+const CONFIG: &str = r#"{
   "templates": [{"name": "house", "waitlists": [
     {"name": "sheets", "partitions": 1, "service": "sheets", "attempts": 8, "attempt_ms": 1500}]}],
   "tenants": [{"name": "curators", "template": "house", "share": 1}],
@@ -15,7 +15,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 }
+    PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 0 }
 }
 
 fn epoch() -> Epoch {
@@ -49,9 +49,9 @@
     }
 }
 
-/// A delivery that carries one waitlist to some workers. They answer at once,
+/// A delivery that carries one queue to some workers. They answer at once,
 /// but for those that are down.
-struct House {
+struct Deployment {
     core: Delivery,
     now: Time,
     asked: Time,
@@ -62,8 +62,8 @@
     got: Vec<(String, Time)>,
 }
 
-impl House {
-    fn new(workers: &[&str]) -> House {
+impl Deployment {
+    fn new(workers: &[&str]) -> Deployment {
         let startup = Startup {
             me: member("delivery-1"),
             seeds: vec![daemon("placement-1")],
@@ -73,7 +73,7 @@
             cold_slack: 5.0,
             seed: 1,
         };
-        let mut house = House {
+        let mut deployment = Deployment {
             core: Delivery::new(startup, NOW),
             now: NOW,
             asked: NOW,
@@ -83,8 +83,8 @@
             got: Vec::new(),
         };
         // Until the first list is old enough, all are met as fresh.
-        house.run(Span::secs(3));
-        house
+        deployment.run(Span::secs(3));
+        deployment
     }
 
     fn step(&mut self, event: Event) {
@@ -114,9 +114,9 @@
     fn tell(&mut self) {
         let version = Version { term: TERM, count: 1 };
         let items = vec![
-            (version, Update::Charter(CHARTER.to_string())),
+            (version, Update::Config(CONFIG.to_string())),
             (version, Update::Members(vec![member("delivery-1"), member("store-1")])),
-            (version, Update::Partitions(vec![(place(), PartitionLocation { keeper: daemon("store-1"), epoch: epoch() })])),
+            (version, Update::Partitions(vec![(place(), PartitionLocation { leader: daemon("store-1"), epoch: epoch() })])),
             (version, Update::Workers(self.workers.iter().map(|w| worker(w)).collect())),
         ];
         let (duty, set, swap_number) = (Duty::Deliver(place()), Vec::new(), Version::ZERO);
@@ -176,12 +176,12 @@
 /// worker that warmed up, and none to the one beside it, by chance alone.
 #[test]
 fn workers_that_are_alike_take_turns() {
-    let mut house = House::new(&["sheets-1", "sheets-2"]);
+    let mut deployment = Deployment::new(&["sheets-1", "sheets-2"]);
     for _ in 0..20 {
-        house.offer();
-        house.run(Span::millis(60));
+        deployment.offer();
+        deployment.run(Span::millis(60));
     }
-    assert_eq!((house.count("sheets-1"), house.count("sheets-2")), (10, 10));
+    assert_eq!((deployment.count("sheets-1"), deployment.count("sheets-2")), (10, 10));
 }
 
 /// Finding of the soak (issue 32, seed 32304): down for 1.2 s, which this
@@ -189,17 +189,17 @@
 /// delivery stood still meanwhile.
 #[test]
 fn a_worker_that_was_not_heard_for_a_second_is_met_as_fresh() {
-    let mut house = House::new(&["sheets-1"]);
-    house.now += Span::millis(1_200);
+    let mut deployment = Deployment::new(&["sheets-1"]);
+    deployment.now += Span::millis(1_200);
     for _ in 0..10 {
-        house.offer();
+        deployment.offer();
     }
-    house.run(Span::millis(1_000));
-    assert!(house.got.len() <= 3, "{:?}", house.got);
-    assert!(!house.got.is_empty());
+    deployment.run(Span::millis(1_000));
+    assert!(deployment.got.len() <= 3, "{:?}", deployment.got);
+    assert!(!deployment.got.is_empty());
     // Nobody has told of a fresh one: it is an old one.
-    house.run(Span::millis(2_000));
-    assert_eq!(house.got.len(), 10);
+    deployment.run(Span::millis(2_000));
+    assert_eq!(deployment.got.len(), 10);
 }
 
 /// Asked for its load when nothing else is asked of it, a worker is heard often
@@ -207,16 +207,16 @@
 #[test]
 fn a_worker_that_is_down_for_less_than_a_second_is_seen_to_be() {
     for phase in 0..10 {
-        let mut house = House::new(&["sheets-1", "sheets-2"]);
-        house.run(Span::millis(100 * phase));
-        house.down = Some("sheets-1".into());
-        house.run(Span::millis(700));
-        house.down = None;
-        house.run(Span::millis(700));
+        let mut deployment = Deployment::new(&["sheets-1", "sheets-2"]);
+        deployment.run(Span::millis(100 * phase));
+        deployment.down = Some("sheets-1".into());
+        deployment.run(Span::millis(700));
+        deployment.down = None;
+        deployment.run(Span::millis(700));
         for _ in 0..8 {
-            house.offer();
+            deployment.offer();
         }
-        assert!(house.count("sheets-1") <= 1, "phase {phase}: it warms up anew: {:?}", house.got);
+        assert!(deployment.count("sheets-1") <= 1, "phase {phase}: it warms up anew: {:?}", deployment.got);
     }
 }
 
@@ -225,23 +225,23 @@
 /// eleven in a second, and two to each of its peers.
 #[test]
 fn a_worker_that_warms_up_is_not_preferred_for_its_zone() {
-    let mut house = House::new(&["sheets-1", "far-1", "far-2"]);
-    house.down = Some("sheets-1".into());
-    house.run(Span::millis(700));
-    house.down = None;
-    house.run(Span::secs(8));
-    house.got.clear();
+    let mut deployment = Deployment::new(&["sheets-1", "far-1", "far-2"]);
+    deployment.down = Some("sheets-1".into());
+    deployment.run(Span::millis(700));
+    deployment.down = None;
+    deployment.run(Span::secs(8));
+    deployment.got.clear();
     for _ in 0..30 {
-        house.offer();
-        house.run(Span::millis(20));
+        deployment.offer();
+        deployment.run(Span::millis(20));
     }
-    assert!(house.count("sheets-1") <= 13, "{:?}", house.got);
+    assert!(deployment.count("sheets-1") <= 13, "{:?}", deployment.got);
     // Warm again, it has them all.
-    house.run(Span::secs(8));
-    house.got.clear();
+    deployment.run(Span::secs(8));
+    deployment.got.clear();
     for _ in 0..10 {
-        house.offer();
-        house.run(Span::millis(60));
+        deployment.offer();
+        deployment.run(Span::millis(60));
     }
-    assert_eq!(house.count("sheets-1"), 10);
+    assert_eq!(deployment.count("sheets-1"), 10);
 }
--- a/crates/disk/tests/power_loss/main.rs
+++ b/crates/disk/tests/power_loss/main.rs
@@ -5,7 +5,7 @@
 mod model;
 mod store;
 use dw_disk::prelude::*;
-use dw_waitlist::prelude::{Effect, Event};
+use dw_queue::prelude::{Effect, Event};
 use model::*;
 use std::sync::Arc;
 
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -1,7 +1,7 @@
 //! The files of a store, driven as a follower: what it acknowledged to the
-//! keeper is what it was told is saved.
+//! leader is what it was told is saved.
 use super::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 }
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 1 }
+    PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 1 }
 }
 
 fn startup() -> Startup {
@@ -61,9 +61,9 @@
     PartitionOp::Put(head, Stage::Pending, body)
 }
 
-/// The keeper's ops, and what the follower acknowledged of them.
+/// The leader's ops, and what the follower acknowledged of them.
 #[derive(Default)]
-struct Keeper {
+struct Leader {
     ops: Vec<PartitionOp>,
     made: u64,
     acknowledged: u64,
@@ -71,7 +71,7 @@
     fresh: u64,
 }
 
-impl Keeper {
+impl Leader {
     /// The records and stages after the first `n` ops.
     fn records(&self, n: u64) -> BTreeMap<MessageId, Stage> {
         let mut records = BTreeMap::new();
@@ -185,9 +185,9 @@
     fn what_a_follower_acknowledged_is_read_back_and_nothing_dropped_returns(seed in any::<u64>()) {
         let mut dice = Dice::new(seed);
         let directory = ModelDirectory::new(seed.rotate_left(29));
-        let mut keeper = Keeper::default();
+        let mut leader = Leader::default();
         for _ in 0..5 {
-            keeper.live(&directory, &mut dice)?;
+            leader.live(&directory, &mut dice)?;
         }
     }
 }
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -1,5 +1,5 @@
-//! Requests taken in by the charter's routes: matched, named, carried to a
-//! partition's keeper, and sought again by their names.
+//! Requests taken in by the configuration's routes: matched, named, carried to a
+//! partition's leader, and sought again by their names.
 use super::{Bounds, Carry, Peek};
 use crate::prelude::*;
 use crate::verdicts;
@@ -19,8 +19,8 @@
 }
 
 impl Proxy {
-    /// Whether callers may be sent here: it knows the charter in force and
-    /// some keeper of the spool that answers.
+    /// Whether callers may be sent here: it knows the configuration in force and
+    /// some leader of the spool that answers.
     pub(super) fn ready(&self, now: Time) -> bool {
         self.leaving.is_none() && self.link.fresh(now) && self.free_part(now).is_some()
     }
@@ -29,16 +29,16 @@
         self.startup.wall + now.since(self.startup.now).0
     }
 
-    /// A partition for a message that may be kept in any: one whose keeper
+    /// A partition for a message that may be kept in any: one whose leader
     /// answers, in this zone if there is one.
     fn free_part(&self, now: Time) -> Option<u32> {
         let spool = self.link.rules.spool;
         let near = &self.startup.me.zone;
         let fit: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let keeper = &self.link.places.get(&Rules::spool_place(n))?.keeper;
-                let zone = self.link.zone_of(keeper)?;
-                (!self.outages.avoids(keeper, now)).then_some((zone == near, n))
+                let leader = &self.link.places.get(&Rules::spool_place(n))?.leader;
+                let zone = self.link.zone_of(leader)?;
+                (!self.outages.avoids(leader, now)).then_some((zone == near, n))
             })
             .collect();
         let any_near = fit.iter().any(|f| f.0);
@@ -93,7 +93,7 @@
             self.counts.refused += 1;
             return self.tell(ask, short("no store keeps messages just now"));
         };
-        if !key.is_empty() && self.keeper_is_lost(part, now) {
+        if !key.is_empty() && self.leader_is_lost(part, now) {
             self.counts.refused += 1;
             return self.tell(ask, short("the store that keeps this key's messages does not answer"));
         }
@@ -137,20 +137,20 @@
     }
 
     /// Whether a message of this partition alone is refused at once, as its
-    /// keeper was silent for long.
-    fn keeper_is_lost(&mut self, part: u32, now: Time) -> bool {
-        let keeper = self.link.places.get(&Rules::spool_place(part)).map(|placing| &placing.keeper);
-        keeper.is_some_and(|keeper| self.outages.refuses(keeper, now))
+    /// leader was silent for long.
+    fn leader_is_lost(&mut self, part: u32, now: Time) -> bool {
+        let leader = self.link.places.get(&Rules::spool_place(part)).map(|placing| &placing.leader);
+        leader.is_some_and(|leader| self.outages.refuses(leader, now))
     }
 
-    /// A name that nobody else gives and that leads any proxy to the keeper.
+    /// A name that nobody else gives and that leads any proxy to the leader.
     fn name(&mut self, part: u32) -> MessageId {
         let n = self.next;
         self.next += 1;
         MessageId(format!("{part:x}-{n:x}"))
     }
 
-    /// The keeper wrote nothing: a message that may be kept anywhere goes to
+    /// The leader wrote nothing: a message that may be kept anywhere goes to
     /// another partition under another name; one of a key waits for its own.
     pub(super) fn post_elsewhere(&mut self, n: u64, now: Time) {
         let Some(c) = self.carries.get(&n) else { return };
@@ -158,11 +158,11 @@
         if c.doubt || now.since(c.since) >= bounds.limit {
             return self.give_up(n);
         }
-        let keeper = self.link.places.get(&c.place).map(|placing| &placing.keeper);
+        let leader = self.link.places.get(&c.place).map(|placing| &placing.leader);
         if !c.head.key.is_empty() {
             return self.outages.note_elsewhere(None, &c.place, now);
         }
-        self.outages.note_elsewhere(keeper, &c.place, now);
+        self.outages.note_elsewhere(leader, &c.place, now);
         let Some(part) = self.free_part(now) else { return self.not_kept(n) };
         let id = self.name(part);
         let Some(c) = self.carries.get_mut(&n) else { return };
--- a/crates/ingest/src/proxy/relay.rs
+++ b/crates/ingest/src/proxy/relay.rs
@@ -1,21 +1,21 @@
-//! Which store passes a request on to a keeper that the proxy can't reach.
+//! Which store passes a request on to a leader that the proxy can't reach.
 use super::outage::Outages;
 use crate::prelude::*;
 
-/// A store that has not been tried and may still reach `keeper`. A cut mostly
+/// A store that has not been tried and may still reach `leader`. A cut mostly
 /// parts whole zones, so a store of a third zone comes first: one beside the
-/// proxy shares its side of the cut, one beside the keeper the other side.
+/// proxy shares its side of the cut, one beside the leader the other side.
 /// Among equals, one that answered lately comes first.
 pub(super) fn relay_around(
     link: &Link,
     outages: &Outages,
-    keeper: Option<&Daemon>,
+    leader: Option<&Daemon>,
     tried: &BTreeSet<Daemon>,
     now: Time,
 ) -> Option<Daemon> {
-    let keeper_zone = keeper.and_then(|k| link.zone_of(k));
-    let shares_a_side = |store: &Member| store.zone == link.me.zone || Some(&store.zone) == keeper_zone;
+    let leader_zone = leader.and_then(|k| link.zone_of(k));
+    let shares_a_side = |store: &Member| store.zone == link.me.zone || Some(&store.zone) == leader_zone;
     let stores = link.members.values().filter(|m| m.id.kind() == DaemonKind::Store);
-    let untried = stores.filter(|m| Some(&m.id) != keeper && !tried.contains(&m.id));
+    let untried = stores.filter(|m| Some(&m.id) != leader && !tried.contains(&m.id));
     untried.min_by_key(|m| (shares_a_side(m), outages.avoids(&m.id, now))).map(|m| m.id.clone())
 }
--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -3,7 +3,7 @@
 use dw_ingest::prelude::*;
 use settings::*;
 
-const CHARTER: &str = r#"{"revision":1,"spool":2,
+const CONFIG: &str = r#"{"revision":1,"spool":2,
   "services":[{"name":"s"}],
   "routes":[{"name":"r","host":"h","prefix":"/a/","service":"s","attempts":3,"attempt_ms":1000,"verdict_ms":80},
             {"name":"o","host":"h","prefix":"/o/","service":"s","ordered":true,"attempts":3,"attempt_ms":1000,"verdict_ms":80}]}"#;
@@ -11,10 +11,10 @@
 fn proxy(now: Time) -> Proxy {
     let mut p = Proxy::new(startup(now));
     let v = Version { term: Term(1), count: 1 };
-    let placing = |d: &str| PartitionLocation { keeper: Daemon(d.into()), epoch: v };
+    let placing = |d: &str| PartitionLocation { leader: Daemon(d.into()), epoch: v };
     let places = vec![(Rules::spool_place(0), placing("store-1")), (Rules::spool_place(1), placing("store-2"))];
     let items = vec![
-        (v, Update::Charter(CHARTER.into())),
+        (v, Update::Config(CONFIG.into())),
         (v, Update::Members(vec![member("store-1", "z1"), member("store-2", "z1"), member("store-3", "z2")])),
         (v, Update::Partitions(places)),
     ];
@@ -152,7 +152,7 @@
 /// The verdict is wanted within 80 ms. What is refused is refused early, but a
 /// hand-over that has just begun is waited for.
 #[test]
-fn a_message_whose_partition_has_no_keeper_is_refused_early_once_that_lasts() {
+fn a_message_whose_partition_has_no_leader_is_refused_early_once_that_lasts() {
     let mut now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/o/1", "k", now));
@@ -179,13 +179,13 @@
 }
 
 #[test]
-fn a_message_that_only_a_lost_keeper_may_take_is_refused_at_once() {
+fn a_message_that_only_a_lost_leader_may_take_is_refused_at_once() {
     let mut now = Time::millis(1_000_000);
     let mut p = proxy(now);
     let first = copies(&post(&mut p, "/o/1", "k", now));
-    let keeper = first[0].1.clone();
+    let leader = first[0].1.clone();
     word(&mut p, &first[0], SubmitOutcome::Accepted { stage: Stage::Pending }, now);
-    p.step(Event::PeerDisconnected(keeper.clone()), now);
+    p.step(Event::PeerDisconnected(leader.clone()), now);
     // It may be back at once, or be reached by another way.
     now += Span::millis(100);
     assert_eq!(copies(&post(&mut p, "/o/1", "k", now)).len(), 1);
@@ -199,7 +199,7 @@
     }
     // Its word ends that.
     let reading = ClockReading { incarnation: IncarnationId(7), at: now };
-    let clock = Some((keeper.clone(), reading));
+    let clock = Some((leader.clone(), reading));
     let msg = PeerMessage::SubmitResponse {
         request_id: probe[0].0,
         proxy: Daemon("proxy-1".into()),
@@ -207,6 +207,6 @@
         outcome: SubmitOutcome::NotLeader,
         clock,
     };
-    p.step(Event::MessageReceived { from: keeper, message: msg }, now);
+    p.step(Event::MessageReceived { from: leader, message: msg }, now);
     assert_eq!(copies(&post(&mut p, "/o/1", "k", now)).len(), 1);
 }
--- a/crates/ingest/tests/relay.rs
+++ b/crates/ingest/tests/relay.rs
@@ -3,22 +3,22 @@
 use dw_ingest::prelude::*;
 use settings::*;
 
-const CHARTER: &str = r#"{
+const CONFIG: &str = r#"{
   "templates":[{"name":"house","waitlists":[{"name":"w","partitions":1,"service":"s","attempts":3,"attempt_ms":1000}]}],
   "tenants":[{"name":"t","template":"house","share":100}],
   "services":[{"name":"s"}]}"#;
 
 /// A proxy of `z1`, with one partition kept by a store of `z2`. By name, the
-/// stores of its own zone and of the keeper's come before those of `z3`.
+/// stores of its own zone and of the leader's come before those of `z3`.
 fn proxy(now: Time) -> Proxy {
     let mut proxy = Proxy::new(Startup { limit: Span::secs(4), ..startup(now) });
     let version = Version { term: Term(1), count: 1 };
     let stores =
         [("store-1", "z1"), ("store-2", "z2"), ("store-3", "z1"), ("store-4", "z2"), ("store-5", "z3"), ("store-6", "z3")];
-    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), number: 0 };
-    let placing = PartitionLocation { keeper: Daemon("store-2".into()), epoch: version };
+    let place = PartitionId { tenant: "t".into(), queue: "w".into(), number: 0 };
+    let placing = PartitionLocation { leader: Daemon("store-2".into()), epoch: version };
     let items = vec![
-        (version, Update::Charter(CHARTER.into())),
+        (version, Update::Config(CONFIG.into())),
         (version, Update::Members(stores.iter().map(|(id, zone)| member(id, zone)).collect())),
         (version, Update::Partitions(vec![(place, placing)])),
     ];
@@ -39,7 +39,7 @@
 fn hand() -> Event {
     let ask = ApiRequest::Submit {
         tenant: "t".into(),
-        waitlist: "w".into(),
+        queue: "w".into(),
         id: MessageId("m".into()),
         key: String::new(),
         callback: String::new(),
@@ -53,7 +53,7 @@
 fn look() -> Event {
     let ask = ApiRequest::Lookup {
         tenant: "t".into(),
-        waitlist: "w".into(),
+        queue: "w".into(),
         id: MessageId("m".into()),
         key: String::new(),
         with_body: false,
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -1,7 +1,7 @@
 //! What a proxy of zone `z1` is started with.
 use dw_ingest::prelude::*;
 
-/// After this without a word from the keeper, another way is tried.
+/// After this without a word from the leader, another way is tried.
 pub const SECOND: Span = Span::millis(400);
 
 pub fn member(id: &str, zone: &str) -> Member {
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -22,7 +22,7 @@
     pub fn duties(&self) -> &BTreeSet<Duty> {
         &self.duties
     }
-    /// Counts the duties anew: the charter's, and with routes those of every
+    /// Counts the duties anew: the configuration's, and with routes those of every
     /// zone in which a daemon or a listed worker stands.
     pub(super) fn recount(&mut self) {
         let mut all = self.rules.duties();
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -4,7 +4,7 @@
 //!
 //! A store leaves a write set when an operator retires it, when it stops and a
 //! successor is there (`departure`), or when it has been silent for so long that
-//! it counts as gone. The keeper of the partition
+//! it counts as gone. The leader of the partition
 //! copies it whole to the joiner under a numbered `Swap`; only then the seat is
 //! moved by a committed order.
 use crate::prelude::*;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Decides for each partition which seat moves, and tells its keeper of
+    /// Decides for each partition which seat moves, and tells its leader of
     /// each change at once.
     fn choose_swaps(&mut self, now: Time) {
         let width = self.wanted_width(now);
@@ -142,7 +142,7 @@
             } else {
                 self.replacements.swaps.remove(&place);
             }
-            if let Some(grant) = self.given.get(&Duty::Keep(place)) {
+            if let Some(grant) = self.given.get(&Duty::Lead(place)) {
                 self.granted.insert(grant.holder.clone());
             }
         }
@@ -215,11 +215,11 @@
             .map(|m| m.id.clone())
     }
 
-    /// A keeper's word that `store` holds a partition whole: the seat moves if
+    /// A leader's word that `store` holds a partition whole: the seat moves if
     /// that copy was made under the replacement that is under way.
     pub(super) fn move_seat(
         &mut self,
-        keeper: &Daemon,
+        leader: &Daemon,
         report: &Report,
         place: &PartitionId,
         put: (Daemon, IncarnationId),
@@ -227,7 +227,7 @@
     ) {
         let Some(swap) = self.replacements.swap(place) else { return };
         let current = report.replacement_numbers.contains(&(place.clone(), swap.number));
-        if !current || swap.joiner != put.0 || swap.out == *keeper {
+        if !current || swap.joiner != put.0 || swap.out == *leader {
             return;
         }
         let out = swap.out.clone();
@@ -247,7 +247,7 @@
                 let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
                 self.propose_once(format!("retired {store}"), order, now);
             }
-            let kept = |d: &Duty, g: &Daemon| matches!(d, Duty::Keep(_)) && *g == store;
+            let kept = |d: &Duty, g: &Daemon| matches!(d, Duty::Lead(_)) && *g == store;
             let held: Vec<Duty> =
                 self.given.iter().filter(|(d, g)| now < g.until && kept(d, &g.holder)).map(|(d, _)| d.clone()).collect();
             for duty in held {
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -1,4 +1,4 @@
-//! Charters that carry their operator's own number.
+//! Configurations that carry their operator's own number.
 use super::asks::{faulty, wrong};
 use super::{done, Pending, COMMIT_MAX};
 use crate::prelude::*;
@@ -36,17 +36,17 @@
             return Some(self.unrecorded(&op, json, part, now));
         }
         if base != self.rules.revision {
-            return Some(self.outrun(self.hard.charter_version));
+            return Some(self.outrun(self.hard.config_version));
         }
         let canon = match self.numbered(json, part, now) {
             Ok(json) => json,
             Err(Unfit::Later(why)) => return Some(later(why)),
             Err(Unfit::Wrong(e)) => {
-                self.note(LogEvent::CharterRefused, e.to_string());
+                self.note(LogEvent::ConfigRefused, e.to_string());
                 return Some(faulty(&e));
             }
         };
-        let order = Order::Charter { op: op.clone(), request: None, base: self.hard.charter_version, json: canon };
+        let order = Order::Config { op: op.clone(), request: None, base: self.hard.config_version, json: canon };
         self.propose(order, Pending::Revision(vec![id], op), now);
         None
     }
@@ -56,18 +56,18 @@
     /// be known.
     fn unrecorded(&self, op: &OperationId, json: &str, part: bool, now: Time) -> ApiResponse {
         if !part && self.in_force(json, now) {
-            return done(self.hard.charter_version, op);
+            return done(self.hard.config_version, op);
         }
         later("this order is older than the records; whether it was taken is unknown; read the configuration")
     }
 
     /// Whether a whole configuration is the very one in force.
     fn in_force(&self, json: &str, now: Time) -> bool {
-        let Ok(mut whole) = dw_charter::check::read(json) else { return false };
+        let Ok(mut whole) = dw_config::check::read(json) else { return false };
         if self.settle(&mut whole, now).is_err() {
             return false;
         }
-        canonical(&whole).is_ok_and(|text| text == self.hard.charter)
+        canonical(&whole).is_ok_and(|text| text == self.hard.config)
     }
 
     /// Those who wait for an order that is under way.
@@ -78,10 +78,10 @@
         })
     }
 
-    /// The canonical form of a numbered charter that may follow the one in force.
+    /// The canonical form of a numbered configuration that may follow the one in force.
     fn numbered(&self, json: &str, part: bool, now: Time) -> Result<String, Unfit> {
         let read = match part {
-            false => dw_charter::check::read(json),
+            false => dw_config::check::read(json),
             true => self.standing().and_then(|c| patch(&c, json)),
         };
         let mut c = read.map_err(Unfit::Wrong)?;
@@ -90,17 +90,17 @@
         canonical(&c).map_err(Unfit::Wrong)
     }
 
-    /// The charter in force; an empty one when there is none.
-    pub(super) fn standing(&self) -> Result<Charter, CharterError> {
-        if self.hard.charter.is_empty() {
-            return Ok(Charter::default());
+    /// The configuration in force; an empty one when there is none.
+    pub(super) fn standing(&self) -> Result<Config, ConfigError> {
+        if self.hard.config.is_empty() {
+            return Ok(Config::default());
         }
-        dw_charter::check::read(&self.hard.charter)
+        dw_config::check::read(&self.hard.config)
     }
 
     /// Fills in what placement chooses: the spool's partitions, once and for
     /// all, by the stores there are.
-    pub(super) fn settle(&self, c: &mut Charter, now: Time) -> Result<(), Unfit> {
+    pub(super) fn settle(&self, c: &mut Config, now: Time) -> Result<(), Unfit> {
         if c.spool == 0 {
             c.spool = self.rules.spool;
         }
@@ -126,16 +126,16 @@
     }
 }
 
-/// Why a charter can't be taken, now or at all.
+/// Why a configuration can't be taken, now or at all.
 pub(super) enum Unfit {
     Later(&'static str),
-    Wrong(CharterError),
+    Wrong(ConfigError),
 }
 
-pub(super) fn canonical(c: &Charter) -> Result<String, CharterError> {
-    let json = serde_json::to_string(c).map_err(|source| CharterError::Unreadable { source })?;
+pub(super) fn canonical(c: &Config) -> Result<String, ConfigError> {
+    let json = serde_json::to_string(c).map_err(|source| ConfigError::Unreadable { source })?;
     if json.len() > COMMIT_MAX {
-        return Err(CharterError::Large { size: json.len(), most: COMMIT_MAX });
+        return Err(ConfigError::Large { size: json.len(), most: COMMIT_MAX });
     }
     Ok(json)
 }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -23,32 +23,32 @@
     out.into_iter().flat_map(items).map(|(_, item)| item).collect()
 }
 
-fn charter_of(items: &[Update]) -> &Update {
-    items.iter().find(|item| item.topic() == Topic::Charter).expect("a configuration")
+fn config_of(items: &[Update]) -> &Update {
+    items.iter().find(|item| item.topic() == Topic::Config).expect("a configuration")
 }
 
 /// One with so many services.
 fn long(services: usize) -> Value {
-    let mut charter = first();
+    let mut config = first();
     let listed = (0..services).map(|n| json!({"name": format!("service-{n:04}"), "slots": 4, "warm_ms": 2000}));
-    charter["services"].as_array_mut().unwrap().extend(listed);
-    charter
+    config["services"].as_array_mut().unwrap().extend(listed);
+    config
 }
 
 #[test]
 fn a_long_configuration_is_compressed_for_those_that_read_it() {
     let mut f = Fleet::whole();
-    let charter = long(600);
-    assert_eq!(f.put(0, &charter).code, 200);
+    let config = long(600);
+    assert_eq!(f.put(0, &config).code, 200);
     f.run(2_000);
-    let committed = hard(&f).charter.clone();
+    let committed = hard(&f).config.clone();
     let items = told(&mut f, "agent-1", true);
-    let Update::CompressedCharter(text) = charter_of(&items) else { panic!("{items:?}") };
-    assert_eq!(text.read(CHARTER_MAX).as_deref(), Some(committed.as_str()));
+    let Update::CompressedConfig(text) = config_of(&items) else { panic!("{items:?}") };
+    assert_eq!(text.read(CONFIG_MAX).as_deref(), Some(committed.as_str()));
     assert!(text.size() * 5 < committed.len(), "{} of {} bytes", text.size(), committed.len());
     assert_eq!(text.read(committed.len() - 1), None, "longer than its receiver takes");
     let items = told(&mut f, "agent-2", false);
-    assert_eq!(*charter_of(&items), Update::Charter(committed));
+    assert_eq!(*config_of(&items), Update::Config(committed));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(f.put(0, &first()).code, 200);
     f.run(2_000);
     let items = told(&mut f, "agent-1", true);
-    assert!(matches!(charter_of(&items), Update::Charter(_)), "{items:?}");
+    assert!(matches!(config_of(&items), Update::Config(_)), "{items:?}");
 }
 
 #[test]
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -7,7 +7,7 @@
 pub use serde_json::{json, Value};
 pub use stores::*;
 pub const TARGET_SHARDS_PER_ZONE: usize = dw_types::id::TARGET_SHARDS_PER_ZONE as usize;
-use std::collections::VecDeque as Queue;
+use std::collections::VecDeque;
 
 /// Between two steps of time.
 const STEP: Span = Span::millis(50);
@@ -25,7 +25,7 @@
     /// Attempts are in hand: nothing is given up.
     pub busy: bool,
     pub unheard: Vec<Duty>,
-    /// Replacements it was told of as keeper: who leaves, who joins, and the
+    /// Replacements it was told of as leader: who leaves, who joins, and the
     /// number that its report names.
     pub swaps: BTreeMap<PartitionId, (Daemon, Daemon, Version)>,
     /// It was told to stop and gives up what it holds.
@@ -49,7 +49,7 @@
     pub fakes: BTreeMap<Daemon, Fake>,
     /// Cores that hear nothing and are heard by nobody.
     pub cut: BTreeSet<Daemon>,
-    queue: Queue<(Daemon, Event)>,
+    queue: VecDeque<(Daemon, Event)>,
     /// A core whose frames are counted, and the bytes of those sent to it.
     pub metered: Option<(Daemon, usize)>,
     pub told: BTreeMap<u64, ApiResponse>,
@@ -97,7 +97,7 @@
             stuck: BTreeMap::new(),
             fakes: BTreeMap::new(),
             cut: BTreeSet::new(),
-            queue: Queue::new(),
+            queue: VecDeque::new(),
             metered: None,
             told: BTreeMap::new(),
             calls: Vec::new(),
@@ -137,7 +137,7 @@
             election: ElectionTiming::default(),
             window: Span::millis(1000),
             hold: Span::millis(3200),
-            charter_lease: Span::millis(2500),
+            config_lease: Span::millis(2500),
             platform: self.platform.clone(),
             poll: Span::millis(1000),
             paged: !self.platform.is_empty(),
@@ -254,7 +254,7 @@
             f.checkpoint.clear();
         }
         for g in grants {
-            if let Duty::Keep(place) = &g.duty {
+            if let Duty::Lead(place) = &g.duty {
                 match &g.replacement {
                     Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.replacement_number)),
                     None => f.swaps.remove(place),
@@ -285,7 +285,7 @@
         let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, from_checkpoint: true });
         let claims = memory.chain(folder).collect();
         let kept: BTreeSet<&PartitionId> =
-            f.held.keys().filter_map(|d| if let Duty::Keep(p) = d { Some(p) } else { None }).collect();
+            f.held.keys().filter_map(|d| if let Duty::Lead(p) = d { Some(p) } else { None }).collect();
         f.swaps.retain(|place, _| kept.contains(place));
         let swaps = f.swaps.iter().map(|(place, s)| (place.clone(), s.2)).collect();
         let copied = f.swaps.iter().filter(|_| f.copies);
@@ -397,11 +397,11 @@
     pub fn folders(&self) -> Vec<(Daemon, usize)> {
         self.disks.iter().map(|(d, files)| (d.clone(), files.values().map(Bytes::len).sum())).collect()
     }
-    /// Charters that stand in the log of the primary, done or not.
-    pub fn charters_logged(&self) -> usize {
+    /// Configurations that stand in the log of the primary, done or not.
+    pub fn configs_logged(&self) -> usize {
         let files = &self.disks[&self.primary().expect("a primary")];
         let stored: HardState<Order> = decode(files.values().last().expect("a file")).expect("readable");
-        stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Charter { .. }))).count()
+        stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Config { .. }))).count()
     }
     pub fn committed(&self) -> u64 {
         self.cores.values().map(|c| c.election.commit()).max().unwrap_or(0)
@@ -413,12 +413,12 @@
            "attempts": 4, "attempt_ms": 2500, "doc": format!("{{\"name\":\"{name}\"}}")})
 }
 
-pub fn charter(revision: u64, routes: &[Value]) -> Value {
+pub fn config(revision: u64, routes: &[Value]) -> Value {
     json!({"revision": revision, "routes": routes, "services": [{"name": "huvo11a", "slots": 6, "doc": "{}"}], "doc": "as sent"})
 }
 
 pub fn first() -> Value {
-    charter(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
+    config(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
 }
 
 pub fn said(v: &ApiResponse) -> Value {
--- a/crates/placement/tests/fleet/stores.rs
+++ b/crates/placement/tests/fleet/stores.rs
@@ -23,7 +23,7 @@
     hard(f).layout.values().filter(|set| set.iter().any(|s| s.0 == daemon(store))).count()
 }
 
-/// How many replacements of seats the keepers know of.
+/// How many replacements of seats the leaders know of.
 pub fn swaps(f: &Fleet) -> usize {
     f.fakes.values().map(|x| x.swaps.len()).sum()
 }
--- a/crates/placement/tests/operations.rs
+++ b/crates/placement/tests/operations.rs
@@ -108,7 +108,7 @@
 #[test]
 fn a_state_of_the_earlier_form_is_read_and_proves_nothing_of_its_orders() {
     let hard = Hard::read(&bytes(EARLIER_STATE)).expect("readable");
-    assert_eq!((hard.charter.as_str(), hard.charter_version), ("{\"revision\":9,\"doc\":\"x\"}", version(2, 5)));
+    assert_eq!((hard.config.as_str(), hard.config_version), ("{\"revision\":9,\"doc\":\"x\"}", version(2, 5)));
     assert!(hard.empty.contains(&Zone("z1".into())));
     for base in [0, 7, 8] {
         assert_eq!(hard.operations.known(&numbered(base), None), Known::Unknown, "base {base}");
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -10,7 +10,7 @@
 }
 
 fn routed(revision: u64, prefix: &str) -> Value {
-    charter(revision, &[route("r-a", prefix)])
+    config(revision, &[route("r-a", prefix)])
 }
 
 fn zone(empty: bool) -> ApiRequest {
@@ -105,7 +105,7 @@
         }
     }
     // The first configuration and the four that differ; each repeat joined its own.
-    assert_eq!(f.charters_logged(), 5);
+    assert_eq!(f.configs_logged(), 5);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 200));
-    assert_eq!(f.charters_logged(), 2);
+    assert_eq!(f.configs_logged(), 2);
     // The same words as a whole configuration are another order.
     assert_eq!(f.ask(revise(7, &words)).code, 409);
 }
@@ -130,7 +130,7 @@
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
     let apply = |f: &Fleet, doc: &str| {
-        let base = f.cores[&f.primary().unwrap()].hard.charter_version.to_string();
+        let base = f.cores[&f.primary().unwrap()].hard.config_version.to_string();
         let json = json!({"revision": 9, "doc": doc}).to_string();
         ApiRequest::Apply(ApplyRequest { operation_id: "op-1".into(), base, json, is_patch: true })
     };
@@ -186,7 +186,7 @@
     };
     let out = frozen.step(Event::MessageReceived { from: store.id.clone(), message: need }, f.now);
     assert!(!out.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::PullResponse { .. }))), "{out:?}");
-    let asks = [ApiRequest::CharterShow, revise(0, &first().to_string()), revise(7, &routed(12, "/b/").to_string()), zone(false)];
+    let asks = [ApiRequest::ShowConfig, revise(0, &first().to_string()), revise(7, &routed(12, "/b/").to_string()), zone(false)];
     for ask in asks {
         let told = verdicts(frozen.step(Event::Request(RequestId(1), ask.clone()), f.now));
         assert_eq!(told.iter().map(|v| v.code).collect::<Vec<_>>(), [503], "{ask:?}");
@@ -211,8 +211,8 @@
     assert_eq!(f.told[&n].code, 504);
     assert_eq!(f.put(7, &lost).code, 409);
     assert_eq!(f.put(7, &routed(9, "/majority/")).code, 200);
-    let charters: BTreeSet<&str> = f.cores.values().map(|c| c.hard.charter.as_str()).collect();
-    assert!(charters.len() == 1 && charters.iter().all(|c| c.contains("/majority/")), "{charters:?}");
+    let configs: BTreeSet<&str> = f.cores.values().map(|c| c.hard.config.as_str()).collect();
+    assert!(configs.len() == 1 && configs.iter().all(|c| c.contains("/majority/")), "{configs:?}");
 }
 
 #[test]
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -32,8 +32,8 @@
         assert!((2..=3).contains(&mine), "delivery-{n} has {mine}");
     }
     let primary = f.primary().unwrap();
-    let keeps = f.cores[&primary].duties().iter().filter(|d| matches!(d, Duty::Keep(_))).count();
-    assert_eq!(keeps, 6);
+    let leads = f.cores[&primary].duties().iter().filter(|d| matches!(d, Duty::Lead(_))).count();
+    assert_eq!(leads, 6);
 }
 
 #[test]
--- a/crates/placement/tests/replacement.rs
+++ b/crates/placement/tests/replacement.rs
@@ -108,9 +108,9 @@
     lose(&mut f, "store-1");
     f.until(6_000, |f| swaps(f) == 6);
     let primary = f.primary().unwrap();
-    let keepers: Vec<Daemon> = f.fakes.values().filter(|x| !x.swaps.is_empty()).map(|x| x.me.id.clone()).collect();
-    for keeper in keepers {
-        let fake = &f.fakes[&keeper];
+    let leaders: Vec<Daemon> = f.fakes.values().filter(|x| !x.swaps.is_empty()).map(|x| x.me.id.clone()).collect();
+    for leader in leaders {
+        let fake = &f.fakes[&leader];
         let places: Vec<PartitionId> = fake.swaps.keys().cloned().collect();
         let whole = places.iter().map(|p| (p.clone(), daemon("store-4"), disk_of("store-4"))).collect();
         let swaps = places.iter().map(|p| (p.clone(), old[p])).collect();
@@ -124,7 +124,7 @@
             report: Some(report),
             reads_compressed: false,
         };
-        f.step(&primary, Event::MessageReceived { from: keeper, message: msg });
+        f.step(&primary, Event::MessageReceived { from: leader, message: msg });
     }
     assert_eq!((seats(&f, "store-1"), seats(&f, "store-4")), (6, 0));
     copying(&mut f, true);
@@ -259,14 +259,14 @@
 
 /// The partitions that a store keeps, with their epochs.
 fn kept(fake: &Fake) -> BTreeMap<Duty, Epoch> {
-    let keeps = fake.held.iter().filter(|(duty, _)| matches!(duty, Duty::Keep(_)));
-    keeps.map(|(duty, (epoch, _))| (duty.clone(), *epoch)).collect()
+    let led = fake.held.iter().filter(|(duty, _)| matches!(duty, Duty::Lead(_)));
+    led.map(|(duty, (epoch, _))| (duty.clone(), *epoch)).collect()
 }
 
 /// Whether each of these partitions is kept by a store that has a seat in it.
 fn kept_in_their_write_sets(f: &Fleet, duties: &BTreeMap<Duty, Epoch>) -> bool {
     duties.keys().all(|duty| {
-        let Duty::Keep(place) = duty else { return false };
+        let Duty::Lead(place) = duty else { return false };
         let seated = |store: &Daemon| hard(f).layout[place].iter().any(|seat| seat.0 == *store);
         let holders: Vec<&Fake> = f.fakes.values().filter(|x| x.held.contains_key(duty)).collect();
         holders.len() == 1 && seated(&holders[0].me.id)
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -25,8 +25,8 @@
         assert!(f.now.since(begun) < Span::millis(4_000), "{} seats are left", seats(&f, "store-1"));
     }
     assert_eq!(seats(&f, "store-1"), 0);
-    let keeps = |d: &Duty| matches!(d, Duty::Keep(_));
-    assert!(!f.fakes[&daemon("store-1")].held.keys().any(keeps));
+    let leads = |d: &Duty| matches!(d, Duty::Lead(_));
+    assert!(!f.fakes[&daemon("store-1")].held.keys().any(leads));
     assert_eq!(retire(&mut f, "machine-of-store-1"), 200);
 }
 
--- a/crates/placement/tests/revision.rs
+++ b/crates/placement/tests/revision.rs
@@ -1,9 +1,9 @@
-//! Charters with their operator's own number: who wins, and what is told.
+//! Configurations with their operator's own number: who wins, and what is told.
 mod fleet;
 use fleet::*;
 
 fn shown(f: &mut Fleet) -> Value {
-    let v = f.ask(ApiRequest::CharterShow);
+    let v = f.ask(ApiRequest::ShowConfig);
     assert_eq!(v.code, 200, "{}", v.json);
     serde_json::from_slice(&v.body.expect("the text itself")).unwrap()
 }
@@ -31,10 +31,10 @@
     // More stores change nothing in it.
     f.add("store-5", "z2");
     f.run(2_000);
-    let next = charter(9, &[route("r-a", "/a/")]);
+    let next = config(9, &[route("r-a", "/a/")]);
     assert_eq!(f.put(7, &next).code, 200);
     assert_eq!(shown(&mut f)["spool"], 8);
-    let mut other = charter(12, &[route("r-a", "/a/")]);
+    let mut other = config(12, &[route("r-a", "/a/")]);
     other["spool"] = json!(10);
     let v = f.put(9, &other);
     assert_eq!((v.code, paths(&v)), (400, vec!["spool".to_string()]));
@@ -44,23 +44,23 @@
 fn uneven_steps_are_taken_and_a_stale_base_is_not() {
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
-    assert_eq!(f.put(7, &charter(19, &[route("r-a", "/a/")])).code, 200);
+    assert_eq!(f.put(7, &config(19, &[route("r-a", "/a/")])).code, 200);
     for base in [0, 6, 7, 18, 20, u64::MAX] {
-        let v = f.put(base, &charter(40 + base % 100, &[route("r-b", "/b/")]));
+        let v = f.put(base, &config(40 + base % 100, &[route("r-b", "/b/")]));
         assert_eq!((v.code, said(&v)["revision"].as_u64()), (409, Some(19)), "base {base}");
     }
     for revision in [0, 1, 18, 19] {
-        let v = f.put(19, &charter(revision, &[route("r-b", "/b/")]));
+        let v = f.put(19, &config(revision, &[route("r-b", "/b/")]));
         assert_eq!((v.code, paths(&v)), (400, vec!["revision".to_string()]), "revision {revision}");
     }
-    assert_eq!(f.put(19, &charter(u64::MAX, &[route("r-b", "/b/")])).code, 200);
+    assert_eq!(f.put(19, &config(u64::MAX, &[route("r-b", "/b/")])).code, 200);
     assert_eq!(names(&shown(&mut f)), ["r-b"]);
 }
 
 #[test]
 fn the_first_needs_a_number() {
     let mut f = Fleet::whole();
-    let v = f.put(0, &charter(0, &[route("r-a", "/a/")]));
+    let v = f.put(0, &config(0, &[route("r-a", "/a/")]));
     assert_eq!((v.code, paths(&v)), (400, vec!["revision".to_string()]));
 }
 
@@ -68,7 +68,7 @@
 fn the_same_one_again_is_acknowledged_and_not_committed_twice() {
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
-    let second = charter(9, &[route("r-a", "/a/")]);
+    let second = config(9, &[route("r-a", "/a/")]);
     assert_eq!(f.put(7, &second).code, 200);
     let part = json!({"revision": 11, "routes": [route("r-b", "/b/")]});
     assert_eq!(f.patch(9, &part).code, 200);
@@ -87,7 +87,7 @@
 fn the_same_one_again_is_known_after_a_take_over() {
     let mut f = Fleet::whole();
     f.put(0, &first());
-    f.put(7, &charter(9, &[route("r-a", "/a/")]));
+    f.put(7, &config(9, &[route("r-a", "/a/")]));
     let old = f.primary().unwrap();
     f.kill(&old);
     f.until(8_000, |f| f.primary().is_some());
@@ -109,7 +109,7 @@
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 200));
     assert_eq!(f.told[&901], f.told[&902]);
     // In the log once, not only done once.
-    assert_eq!(f.charters_logged(), 1);
+    assert_eq!(f.configs_logged(), 1);
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let mut f = Fleet::whole();
     f.put(0, &first());
     let at = f.primary().unwrap();
-    let one = charter(9, &[route("r-a", "/a/")]).to_string();
+    let one = config(9, &[route("r-a", "/a/")]).to_string();
     let two = json!({"revision": 8, "routes": [route("r-b", "/b/")]}).to_string();
     f.step_alone(&at, Event::Request(RequestId(901), ApiRequest::Revise { base: 7, json: one, is_patch: false }));
     f.step_alone(&at, Event::Request(RequestId(902), ApiRequest::Revise { base: 7, json: two, is_patch: true }));
@@ -138,7 +138,7 @@
             f.cut.insert(d);
         }
     }
-    let n = f.send(&at, ApiRequest::Revise { base: 7, json: charter(9, &[route("r-a", "/a/")]).to_string(), is_patch: false });
+    let n = f.send(&at, ApiRequest::Revise { base: 7, json: config(9, &[route("r-a", "/a/")]).to_string(), is_patch: false });
     f.run(300);
     assert!(!f.told.contains_key(&n));
     f.run(5_000);
@@ -146,7 +146,7 @@
     // The group comes together again: the same order ends well, once.
     f.cut.clear();
     f.until(8_000, |f| f.primary().is_some());
-    let v = f.put(7, &charter(9, &[route("r-a", "/a/")]));
+    let v = f.put(7, &config(9, &[route("r-a", "/a/")]));
     assert_eq!(v.code, 200);
     assert_eq!(names(&shown(&mut f)), ["r-a"]);
 }
@@ -157,7 +157,7 @@
     f.put(0, &first());
     let (at, before) = (f.committed(), shown(&mut f));
     let with = |change: &dyn Fn(&mut Value)| {
-        let mut c = charter(9, &[route("r-a", "/a/"), route("r-b", "/b/")]);
+        let mut c = config(9, &[route("r-a", "/a/"), route("r-b", "/b/")]);
         change(&mut c);
         c
     };
@@ -249,17 +249,17 @@
     let back = shown(&mut f);
     assert_eq!((&back["doc"], &back["routes"][1]["doc"], &back["services"][0]["doc"]), (&json!(doc), &json!(doc), &json!(doc)));
     // Deliveries and stores are told the very text that is shown.
-    let text = f.ask(ApiRequest::CharterShow).body.unwrap();
+    let text = f.ask(ApiRequest::ShowConfig).body.unwrap();
     for x in f.fakes.values() {
-        let told = x.news.iter().rev().find_map(|i| if let Update::Charter(j) = i { Some(j.clone()) } else { None });
+        let told = x.news.iter().rev().find_map(|i| if let Update::Config(j) = i { Some(j.clone()) } else { None });
         assert_eq!(told.unwrap().as_bytes(), &text[..]);
     }
 }
 
 #[test]
-fn without_a_charter_there_is_none_to_show() {
+fn without_a_config_there_is_none_to_show() {
     let mut f = Fleet::whole();
-    assert_eq!(f.ask(ApiRequest::CharterShow).code, 404);
+    assert_eq!(f.ask(ApiRequest::ShowConfig).code, 404);
 }
 
 #[test]
@@ -267,7 +267,7 @@
     let mut f = Fleet::whole();
     let (at, other) = (f.primary().unwrap(), f.standby());
     let asks = [
-        ApiRequest::CharterShow,
+        ApiRequest::ShowConfig,
         ApiRequest::Revise { base: 0, json: first().to_string(), is_patch: false },
         ApiRequest::SetZoneEmpty { zone: "z1".into(), empty: true, force: true },
         ApiRequest::RetireStore { store: daemon("store-1") },
@@ -280,7 +280,7 @@
     // Cut off, the old primary does not send callers to itself.
     f.cut.insert(at.clone());
     f.run(2_500);
-    let n = f.send(&at, ApiRequest::CharterShow);
+    let n = f.send(&at, ApiRequest::ShowConfig);
     assert_eq!((f.told[&n].code, f.told[&n].redirect_to.clone()), (503, None));
 }
 
@@ -330,17 +330,17 @@
 }
 
 #[test]
-fn a_day_of_charters_keeps_the_hard_state_small() {
+fn a_day_of_configs_keeps_the_hard_state_small() {
     let mut f = Fleet::whole();
     let idle: Vec<Value> = (0..200).map(|n| route(&format!("r-{n}"), &format!("/{n}/"))).collect();
-    assert_eq!(f.put(0, &charter(1, &idle)).code, 200);
-    let one = f.ask(ApiRequest::CharterShow).body.unwrap().len();
+    assert_eq!(f.put(0, &config(1, &idle)).code, 200);
+    let one = f.ask(ApiRequest::ShowConfig).body.unwrap().len();
     for n in 1..60 {
         let part = json!({"revision": n + 1, "routes": [route("r-0", &format!("/x{n}/"))]});
         assert_eq!(f.patch(n, &part).code, 200);
-        // The charter in force, the charters in the log, and one under way.
+        // The configuration in force, the configurations in the log, and one under way.
         for (id, size) in f.folders() {
-            assert!(size < one * 2 + (512 << 10) + 65_536, "{id} keeps {size} bytes for a charter of {one}");
+            assert!(size < one * 2 + (512 << 10) + 65_536, "{id} keeps {size} bytes for a configuration of {one}");
         }
     }
 }
@@ -355,7 +355,7 @@
 fn a_member_that_was_away_for_a_thousand_changes_catches_up_by_state_and_can_lead() {
     let mut f = Fleet::whole();
     let idle: Vec<Value> = (0..500).map(|n| route(&format!("r-{n}"), &format!("/{n}/"))).collect();
-    assert_eq!(f.put(0, &charter(1, &idle)).code, 200);
+    assert_eq!(f.put(0, &config(1, &idle)).code, 200);
     let away = f.standby();
     let old_files = f.files(&away);
     f.kill(&away);
@@ -376,5 +376,5 @@
     f.kill(&primary);
     f.until(9_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
     assert_eq!(shown(&mut f), newest);
-    assert_eq!(f.cores[&away].hard.charter, f.cores[&f.primary().unwrap()].hard.charter);
+    assert_eq!(f.cores[&away].hard.config, f.cores[&f.primary().unwrap()].hard.config);
 }
--- a/crates/waitlist/src/attempts.rs
+++ b/crates/queue/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Whether attempts end when their keeper counts on it. A keeper that heard
+//! Whether attempts end when their leader counts on it. A leader that heard
 //! nothing of an attempt hands its message out again after the attempt's end;
 //! that is safe only if no run of it goes on beyond that end.
 use crate::prelude::*;
@@ -11,9 +11,9 @@
 pub enum LateSuccess {
     /// It ended in time and was told late.
     ToldLate { by: Span },
-    /// It ran on beyond the end that its keeper had set.
+    /// It ran on beyond the end that its leader had set.
     OutlivedEnd { by: Span },
-    /// It was handed out by an earlier keeper, and ran on beyond the rest that
+    /// It was handed out by an earlier leader, and ran on beyond the rest that
     /// its records were given when this one opened.
     OutlivedRest { by: Span },
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// The attempts of one keeping that passed their end without a word.
+/// The attempts of one leader's epoch that passed their end without a word.
 /// Invariants: of each attempt a success is judged once; both are bounded.
 #[derive(Debug, Default)]
 pub struct OverdueAttempts {
@@ -44,7 +44,7 @@
 }
 
 impl OverdueAttempts {
-    /// An attempt of this keeping passed its end without a word.
+    /// An attempt of this epoch passed its end without a word.
     pub fn lapsed(&mut self, attempt: u64, end: Time) {
         self.ends.insert(attempt, end);
         if self.ends.len() > REMEMBERED {
@@ -53,7 +53,7 @@
     }
 
     /// Judges a success, told at `now`, of an attempt that is not under way by
-    /// the keeper's own account. `epoch` and `rest` are the keeping's; `unread`
+    /// the leader's own account. `epoch` and `rest` are the leader's; `unread`
     /// is how long the word may have waited to be read here.
     pub fn judge(&mut self, told: &AttemptResult, epoch: Epoch, rest: Time, unread: Span, now: Time) -> Option<LateSuccess> {
         let ended = Time(now.0.saturating_sub(told.ended_ago.0 + unread.0));
--- a/crates/waitlist/src/peer.rs
+++ b/crates/queue/src/peer.rs
@@ -1,23 +1,23 @@
-//! What a keeper knows of one peer's copy of its partition.
+//! What a leader knows of one peer's copy of its partition.
 use crate::prelude::*;
 
-/// A mate that owes an acknowledgement may be silent for so many times what
+/// A backup that owes an acknowledgement may be silent for so many times what
 /// one takes.
 const ACKNOWLEDGEMENTS_WAITED: u64 = 8;
 /// With each acknowledgement that was faster, the slowest one remembered
 /// counts for so many parts of a hundred.
 const SLOWEST_KEPT: u64 = 95;
 
-/// How long a mate of one partition may be silent. The shortest time doubles
+/// How long a backup of one partition may be silent. The shortest time doubles
 /// each time one gives way for it, so that slow acknowledgements of a load that
-/// is too high do not make mates change, which costs copies and adds to it.
+/// is too high do not make backups change, which costs copies and adds to it.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
     pub least: Span,
     pub longest: Span,
 }
 
-/// The shortest time where no mate has given way of late.
+/// The shortest time where no backup has given way of late.
 const PATIENCE_LEAST: Span = Span::millis(150);
 /// After so long without one that gave way the shortest time halves.
 const PATIENCE_EASED: Span = Span::secs(10);
@@ -33,7 +33,7 @@
     pub fn new(now: Time) -> PatienceLeast {
         PatienceLeast { least: PATIENCE_LEAST, since: now }
     }
-    /// A mate gave way because it was silent.
+    /// A backup gave way because it was silent.
     pub fn note_given_way(&mut self, longest: Span, now: Time) {
         *self = PatienceLeast { least: self.now(now).times(2).min(longest), since: now };
     }
@@ -89,8 +89,8 @@
         behind
     }
 
-    /// Whether it was silent for too long since `since`, when it became a mate,
-    /// and since it lacks something. Only one that was fast as a mate is given
+    /// Whether it was silent for too long since `since`, when it became a backup,
+    /// and since it lacks something. Only one that was fast as a backup is given
     /// less than the longest time.
     pub fn is_silent(&self, since: Time, patience: Patience, now: Time) -> bool {
         let was_fast = self.have.is_some() && self.heard > since && self.slowest > Span::ZERO;
--- a/crates/waitlist/src/rest.rs
+++ b/crates/queue/src/rest.rs
@@ -1,14 +1,14 @@
-//! How long an attempt that another keeper handed out may still be under way.
+//! How long an attempt that another leader handed out may still be under way.
 use crate::prelude::*;
 
-/// How much later than this store another keeper may have learnt of a
+/// How much later than this store another leader may have learnt of a
 /// configuration: none hands out what it can't confirm for longer.
 const CONFIGURATION_LAG: Span = Span::secs(3);
 /// For clocks that run at different rates, in parts of a hundred.
 const MARGIN: u64 = 110;
 
 /// The longest that an attempt lasts from its hand-out, by any configuration
-/// that a keeper may have used lately.
+/// that a leader may have used lately.
 /// Invariant: `earlier` only holds what is longer than what came after it.
 #[derive(Debug, Default)]
 pub struct LongestAttempt {
--- a/crates/waitlist/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -1,39 +1,39 @@
-//! Operations sent to the mates, their acknowledgements, and what stands.
+//! Operations sent to the backups, their acknowledgements, and what stands.
 use crate::prelude::*;
 
 impl Store {
-    /// Sends each mate what it lacks of the latest ops.
+    /// Sends each backup what it lacks of the latest ops.
     pub(super) fn spread(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        for mate in own.mates.keys().cloned().collect::<Vec<_>>() {
-            self.spread_to(place, &mate, now);
+        for backup in own.backups.keys().cloned().collect::<Vec<_>>() {
+            self.spread_to(place, &backup, now);
         }
     }
 
-    fn spread_to(&mut self, place: &PartitionId, mate: &Daemon, now: Time) {
+    fn spread_to(&mut self, place: &PartitionId, backup: &Daemon, now: Time) {
         let Some(p) = self.parts.get_mut(place) else { return };
         let Some(own) = p.own.as_mut() else { return };
         let top = p.n;
         let epoch = own.epoch;
-        let Some(have) = own.peers.get(mate).and_then(|s| s.have) else { return };
-        let sent = own.peers.get(mate).map_or(have, |s| s.sent).max(have);
+        let Some(have) = own.peers.get(backup).and_then(|s| s.have) else { return };
+        let sent = own.peers.get(backup).map_or(have, |s| s.sent).max(have);
         if sent >= top || sent - have > 4 * 1024 {
             return;
         }
         let Some(ops) = own.ops_from(sent + 1, top) else {
             // Too far behind for the ops kept: it copies the whole.
-            if let Some(s) = own.peers.get_mut(mate) {
+            if let Some(s) = own.peers.get_mut(backup) {
                 (s.have, s.short) = (None, true);
             }
             return;
         };
-        if let Some(s) = own.peers.get_mut(mate) {
+        if let Some(s) = own.peers.get_mut(backup) {
             s.note_sent(sent + ops.len() as u64, now);
             if s.sent < top {
                 self.dirty.insert(place.clone());
             }
         }
-        self.say(mate, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
+        self.say(backup, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
     }
 
     pub(super) fn on_append(
@@ -174,7 +174,7 @@
             .filter_map(|(d, s)| Some((s.have?, far(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
-        let Some(enough) = copies.get(own.mates_needed() - 1).map(|c| c.0) else { return };
+        let Some(enough) = copies.get(own.backups_needed() - 1).map(|c| c.0) else { return };
         let Some(elsewhere) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
         let best = enough.min(elsewhere);
         if own.phase == Phase::Spreading {
--- a/crates/waitlist/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -1,5 +1,5 @@
 //! What the log and the counts tell of attempts that did not end as their
-//! keeper counted on.
+//! leader counted on.
 use crate::prelude::*;
 
 impl Store {
--- a/crates/waitlist/src/store/mates.rs
+++ b/crates/queue/src/store/backups.rs
@@ -1,16 +1,16 @@
-//! The peers of a partition that its keeper sees to: the mates that get every
+//! The peers of a partition that its leader sees to: the backups that get every
 //! operation, and those whose copy does not count yet.
 use crate::prelude::*;
 
-/// A mate that owes an acknowledgement for so many parts of a hundred of a
+/// A backup that owes an acknowledgement for so many parts of a hundred of a
 /// lease gives way to another, and sooner if it used to be fast.
 const QUIET: u64 = 30;
-/// A mate that lacks something is asked again after this.
-const MATE_ASKED_AGAIN: Span = Span::millis(300);
+/// A backup that lacks something is asked again after this.
+const BACKUP_ASKED_AGAIN: Span = Span::millis(300);
 /// A store that has to be made whole for its seat, after this.
 const SEAT_ASKED_AGAIN: Span = Span::secs(1);
 const SEAL_ASKED_AGAIN: Span = Span::secs(1);
-/// A peer of this zone that is no mate is drawn in once in so long.
+/// A peer of this zone that is no backup is drawn in once in so long.
 const NEAR_DRAWN_AGAIN: Span = Span::secs(4);
 /// After a partition was opened its second copy is moved only for so long.
 const SPREAD_WITHIN: Span = Span::secs(2);
@@ -19,29 +19,29 @@
 
 impl Store {
     /// Chooses the peers that get every op, as many as must have it beside
-    /// this store and one at least in another zone. A `lost` mate gives way to
+    /// this store and one at least in another zone. A `lost` backup gives way to
     /// the next peer, if there is another.
-    pub(super) fn match_mates(&mut self, place: &PartitionId, lost: Option<&Daemon>, now: Time) {
+    pub(super) fn choose_backups(&mut self, place: &PartitionId, lost: Option<&Daemon>, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let zone = self.startup.me.zone.clone();
         let far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
-        let all = self.mate_candidates(place, &zones);
+        let all = self.backup_candidates(place, &zones);
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        let needed = own.mates_needed();
+        let needed = own.backups_needed();
         if lost.is_some_and(|lost| !far(lost)) {
             own.near_drawn = now;
         }
-        own.mates.retain(|d, _| all.contains(d) && Some(d) != lost);
+        own.backups.retain(|d, _| all.contains(d) && Some(d) != lost);
         // The one after the lost one comes first, the lost one itself last.
         let begin = lost.and_then(|lost| all.iter().position(|d| d == lost)).map_or(0, |at| at + 1);
         let in_turn: Vec<&Daemon> = all.iter().cycle().skip(begin).take(all.len()).collect();
         let mut joined = Vec::new();
-        while own.mates.len() < needed {
-            let last_place = own.mates.len() + 1 == needed;
-            let must_be_far = last_place && !own.mates.keys().any(far);
-            let fits = |d: &&&Daemon| !own.mates.contains_key(**d) && (!must_be_far || far(d));
+        while own.backups.len() < needed {
+            let last_place = own.backups.len() + 1 == needed;
+            let must_be_far = last_place && !own.backups.keys().any(far);
+            let fits = |d: &&&Daemon| !own.backups.contains_key(**d) && (!must_be_far || far(d));
             let Some(next) = in_turn.iter().find(fits).map(|d| (*d).clone()) else { break };
-            own.mates.insert(next.clone(), now);
+            own.backups.insert(next.clone(), now);
             joined.push(next);
         }
         joined.retain(|d| Some(d) != lost);
@@ -51,18 +51,18 @@
         own.asked = Time(0);
         if lost.is_some() {
             let names: Vec<String> = joined.iter().map(|d| d.to_string()).collect();
-            self.note(LogEvent::MateMatched, format!("{place} now {}", names.join(", ")));
+            self.note(LogEvent::BackupChosen, format!("{place} now {}", names.join(", ")));
         }
         self.tend(place, now);
     }
 
-    /// The peers that may be mates of a partition, the fittest first.
-    fn mate_candidates(&self, place: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
+    /// The peers that may be backups of a partition, the fittest first.
+    fn backup_candidates(&self, place: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
         let leaves = |d: &Daemon| own.swap.as_ref().is_some_and(|s| s.0 == *d);
-        // One mate has to be in another zone; of several, any may be near.
-        let near_too = own.mates_needed() > 1;
+        // One backup has to be in another zone; of several, any may be near.
+        let near_too = own.backups_needed() > 1;
         let apart = |d: &Daemon| zones.get(d).is_some_and(|z| near_too || *z != me.zone);
         let mut all: Vec<Daemon> =
             own.set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && apart(d) && !leaves(d)).collect();
@@ -87,40 +87,41 @@
     /// A peer closed its line: where something waits for its copy, another
     /// takes its part at once.
     pub(super) fn on_cut(&mut self, d: &Daemon, now: Time) {
-        let waits = |p: &Part| p.own.as_ref().is_some_and(|o| o.mates.contains_key(d) && !o.waits.is_empty());
+        let waits = |p: &Part| p.own.as_ref().is_some_and(|o| o.backups.contains_key(d) && !o.waits.is_empty());
         let all: Vec<PartitionId> = self.parts.iter().filter(|(_, p)| waits(p)).map(|(k, _)| k.clone()).collect();
         for place in all {
-            self.match_mates(&place, Some(d), now);
+            self.choose_backups(&place, Some(d), now);
         }
     }
 
-    /// Where somebody waits for an op, a mate that is silent gives way at once.
-    pub(super) fn replace_silent_mates(&mut self, now: Time) {
+    /// Where somebody waits for an op, a backup that is silent gives way at once.
+    pub(super) fn replace_silent_backups(&mut self, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
         }
         let longest = self.startup.terms.length.percent(QUIET);
-        let silent = |own: &Keep| {
+        let silent = |own: &LeaderState| {
             let patience = Patience { least: own.patience_least.now(now), longest };
-            let is_silent = |mate: &Daemon, since: &Time| own.peers.get(mate).is_some_and(|s| s.is_silent(*since, patience, now));
-            !own.waits.is_empty() && own.mates.iter().any(|(mate, since)| is_silent(mate, since))
+            let is_silent =
+                |backup: &Daemon, since: &Time| own.peers.get(backup).is_some_and(|s| s.is_silent(*since, patience, now));
+            !own.waits.is_empty() && own.backups.iter().any(|(backup, since)| is_silent(backup, since))
         };
         let due: Vec<PartitionId> =
             self.parts.iter().filter(|(_, p)| p.own.as_ref().is_some_and(silent)).map(|(place, _)| place.clone()).collect();
         for place in due {
-            if self.link.may(&Duty::Keep(place.clone()), now).is_some() {
+            if self.link.may(&Duty::Lead(place.clone()), now).is_some() {
                 self.tend(&place, now);
             }
         }
     }
 
-    /// Sees to the mates, and to seats whose copy does not count yet.
+    /// Sees to the backups, and to seats whose copy does not count yet.
     pub(super) fn tend(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        if own.mates.is_empty() {
-            self.match_mates(place, None, now);
+        if own.backups.is_empty() {
+            self.choose_backups(place, None, now);
         }
-        let (mut to_copy, lost) = self.tend_mates(place, now);
+        let (mut to_copy, lost) = self.check_backups(place, now);
         to_copy.extend(self.seats_to_fill(place, now));
         self.seal_unfenced(place, now);
         for peer in to_copy {
@@ -129,27 +130,27 @@
         self.watch_copies(place, now);
         self.dirty.insert(place.clone());
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        if lost.is_some() || own.mates.len() < own.mates_needed() {
-            return self.match_mates(place, lost.as_ref(), now);
+        if lost.is_some() || own.backups.len() < own.backups_needed() {
+            return self.choose_backups(place, lost.as_ref(), now);
         }
         self.draw_near(place, now);
-        self.spread_mates(place, now);
+        self.spread_backups(place, now);
     }
 
-    /// Where one mate is needed it is the one that answered first when the
+    /// Where one backup is needed it is the one that answered first when the
     /// partition was sealed. Of all partitions that are opened at one time that
     /// may be the same store, and its loss would stall all of them. So once all
     /// stores of the set have answered, the partition's own first candidate
     /// takes the place, if it stands where the partition stood when it was
     /// sealed: then nothing has to be copied.
-    fn spread_mates(&mut self, place: &PartitionId, now: Time) {
+    fn spread_backups(&mut self, place: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        if own.phase != Phase::Serving || own.mates_needed() != 1 || own.spread == Spread::Done {
+        if own.phase != Phase::Serving || own.backups_needed() != 1 || own.spread == Spread::Done {
             return;
         }
         let first = match own.spread {
-            Spread::Open => self.mate_candidates(place, &zones).into_iter().next(),
+            Spread::Open => self.backup_candidates(place, &zones).into_iter().next(),
             _ => None,
         };
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
@@ -160,20 +161,20 @@
                     return;
                 }
                 own.spread = Spread::Done;
-                let Some(first) = first.filter(|d| !own.mates.contains_key(d)) else { return };
+                let Some(first) = first.filter(|d| !own.backups.contains_key(d)) else { return };
                 let stands = own.fences.get(&first).filter(|fence| own.counts(&first, fence.disk_id));
                 if stands.is_some_and(|fence| own.was == Some((fence.installed_epoch, fence.last_op))) {
-                    own.mates.insert(first.clone(), now);
+                    own.backups.insert(first.clone(), now);
                     own.spread = Spread::Drawn(first);
                 }
             }
-            Spread::Drawn(first) if !own.mates.contains_key(&first) => own.spread = Spread::Done,
+            Spread::Drawn(first) if !own.backups.contains_key(&first) => own.spread = Spread::Done,
             Spread::Drawn(first) => {
                 if own.is_level(&first) {
-                    own.mates.retain(|mate, _| *mate == first);
+                    own.backups.retain(|backup, _| *backup == first);
                     own.spread = Spread::Done;
-                } else if now.since(own.opened) > SPREAD_WITHIN && own.mates.len() > 1 {
-                    own.mates.remove(&first);
+                } else if now.since(own.opened) > SPREAD_WITHIN && own.backups.len() > 1 {
+                    own.backups.remove(&first);
                     own.spread = Spread::Done;
                 }
             }
@@ -181,35 +182,35 @@
         }
     }
 
-    /// Draws a peer of this zone in where all mates stand elsewhere, as may
+    /// Draws a peer of this zone in where all backups stand elsewhere, as may
     /// be after an opening or a failure: each operation crosses zones once
-    /// less. Until it has caught up it is one mate more than is needed.
+    /// less. Until it has caught up it is one backup more than is needed.
     fn draw_near(&mut self, place: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let here = self.startup.me.zone.clone();
         let near = |d: &Daemon| zones.get(d).is_some_and(|z| *z == here);
-        let candidates = self.mate_candidates(place, &zones);
+        let candidates = self.backup_candidates(place, &zones);
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        if own.phase != Phase::Serving || own.mates_needed() < 2 {
+        if own.phase != Phase::Serving || own.backups_needed() < 2 {
             return;
         }
-        if own.mates.len() > own.mates_needed() {
-            return own.release_far_mate(near);
+        if own.backups.len() > own.backups_needed() {
+            return own.release_far_backup(near);
         }
-        if own.mates.keys().any(near) || now.since(own.near_drawn) < NEAR_DRAWN_AGAIN {
+        if own.backups.keys().any(near) || now.since(own.near_drawn) < NEAR_DRAWN_AGAIN {
             return;
         }
         let counts = |d: &Daemon| own.folder_of(d).is_some_and(|mark| own.counts(d, mark));
         let Some(next) = candidates.into_iter().find(|d| near(d) && counts(d)) else { return };
         own.near_drawn = now;
-        own.mates.insert(next, now);
+        own.backups.insert(next, now);
         own.asked = Time(0);
     }
 
-    /// The mates that need a whole copy, and one that has to give way: it lags
+    /// The backups that need a whole copy, and one that has to give way: it lags
     /// and has not moved for a while, it leaves, or it came back without its
     /// disk, so that nothing it holds counts until its new folder is seated.
-    fn tend_mates(&mut self, place: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
+    fn check_backups(&mut self, place: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
         let longest = self.startup.terms.length.percent(QUIET);
         let still = self.standstill.is_catching_up(now);
         let (members, here) = (&self.link.members, &self.startup.me.zone);
@@ -219,23 +220,23 @@
         let Some(own) = p.own.as_mut() else { return (to_copy, lost) };
         let top = p.n;
         let patience = Patience { least: own.patience_least.now(now), longest };
-        for (mate, since) in own.mates.clone() {
-            let is_empty = own.has_lost_its_disk(&mate) && own.has_other_mate(&mate, &self.startup.me.id, is_far);
-            let peer = own.peers.entry(mate.clone()).or_default();
+        for (backup, since) in own.backups.clone() {
+            let is_empty = own.has_lost_its_disk(&backup) && own.has_other_backup(&backup, &self.startup.me.id, is_far);
+            let peer = own.peers.entry(backup.clone()).or_default();
             let behind = peer.note_behind(top, now);
             let quiet = !still && peer.is_silent(since, patience, now);
-            let leaves = own.swap.as_ref().is_some_and(|s| s.0 == mate);
+            let leaves = own.swap.as_ref().is_some_and(|s| s.0 == backup);
             if (behind && quiet) || leaves || is_empty {
                 if lost.is_none() && !leaves && !is_empty {
                     own.patience_least.note_given_way(longest, now);
                 }
-                lost.get_or_insert(mate);
+                lost.get_or_insert(backup);
                 continue;
             }
-            if behind && now.since(peer.asked) > MATE_ASKED_AGAIN {
+            if behind && now.since(peer.asked) > BACKUP_ASKED_AGAIN {
                 peer.asked = now;
                 match peer.have {
-                    None => to_copy.push(mate.clone()),
+                    None => to_copy.push(backup.clone()),
                     Some(h) => peer.sent = h,
                 }
             }
@@ -244,7 +245,7 @@
     }
 
     /// Stores of the set whose folder is another than the one that counts, and
-    /// the one that takes a seat. A keeper that waits for a copy in another zone
+    /// the one that takes a seat. A leader that waits for a copy in another zone
     /// sees to them too: one of them may be the only store there.
     fn seats_to_fill(&mut self, place: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
@@ -270,7 +271,7 @@
 
     /// Stores of the set whose present folder is not the one that counts. One
     /// that is away may come back with its folder: it is not among them.
-    pub(super) fn seats_without_copy(&self, own: &Keep) -> Vec<Daemon> {
+    pub(super) fn seats_without_copy(&self, own: &LeaderState) -> Vec<Daemon> {
         let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
         own.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
     }
--- a/crates/waitlist/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -19,11 +19,11 @@
 }
 
 impl Store {
-    /// Only a replica fenced at this very epoch, or its keeper once that is
+    /// Only a replica fenced at this very epoch, or its leader once that is
     /// whole, hands out.
     fn hands_out(&self, place: &PartitionId, epoch: Epoch) -> bool {
         let Some(part) = self.parts.get(place) else { return false };
-        part.promised == epoch && part.own.as_ref().is_none_or(Keep::is_whole)
+        part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
     }
 
     /// A store that knows no parts is sent the list of all records.
--- a/crates/waitlist/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -64,8 +64,8 @@
     /// is told on until then.
     fn kept_elsewhere(&self) -> bool {
         self.gave.keys().all(|duty| {
-            let Duty::Keep(place) = duty else { return true };
-            self.link.places.get(place).is_some_and(|placing| placing.keeper != self.startup.me.id)
+            let Duty::Lead(place) = duty else { return true };
+            self.link.places.get(place).is_some_and(|placing| placing.leader != self.startup.me.id)
         })
     }
 }
--- a/crates/waitlist/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -2,7 +2,7 @@
 //!
 //! It refuses new messages at once, as nothing of them is written anywhere.
 //! What it has stays readable, and it goes on as a replica that acknowledges
-//! nothing. As keeper it would block its partitions, since every change has to
+//! nothing. As leader it would block its partitions, since every change has to
 //! be synced here: it gives them up to the rest of their write set and takes
 //! none back until the disk works again.
 use crate::prelude::*;
@@ -50,8 +50,8 @@
     /// Whether placement should grant nothing here: the disk is stuck, and all
     /// partitions are given up. Earlier than that it would take a claim that
     /// is still live for one given up.
-    pub(super) fn unfit_as_keeper(&self, now: Time) -> bool {
-        let keeps = self.link.held.live(now).iter().any(|(duty, _)| matches!(duty, Duty::Keep(_)));
-        self.gives_up_partitions(now) && !keeps && self.parts.values().all(|part| part.own.is_none())
+    pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
+        let leads = self.link.held.live(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
+        self.gives_up_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
     }
 }
--- a/crates/waitlist/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A delivery that knows a new keeper's epoch takes nothing of an earlier
+    /// A delivery that knows a new leader's epoch takes nothing of an earlier
     /// one any more. Once every delivery has said so, only what one of them
     /// names is still under way, and the rest need not wait.
     fn vouch(&mut self, from: &Daemon, places: &[(PartitionId, Epoch)], holding: &[InFlightAttempt], now: Time) {
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Messages whose route a charter dropped, or that are past their worth,
+    /// Messages whose route a configuration dropped, or that are past their worth,
     /// end; those under way when their run does.
     pub(super) fn end_dropped(&mut self, now: Time) {
         let rules = &self.link.rules;
--- a/crates/waitlist/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -64,8 +64,8 @@
         self.clean();
     }
 
-    /// A copy that no keeper tends hears of no drops. What ended here lets go
-    /// of its room all the same, later than any keeper would drop it.
+    /// A copy that no leader tends hears of no drops. What ended here lets go
+    /// of its room all the same, later than any leader would drop it.
     fn forget(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         if retain == Span::ZERO {
--- a/crates/waitlist/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -1,7 +1,7 @@
 //! A store that is made whole for many partitions at once holds no more bytes
 //! of unfinished copies than its bound, and still ends all of them.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 
 const START: Time = Time::millis(10_000);
@@ -13,7 +13,7 @@
 const BOUND: u64 = 30_000;
 
 fn place(part: u32) -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: part }
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: part }
 }
 
 fn body(seq: u64) -> Bytes {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The keeper's answer: all records first, then the bytes of one message.
+/// The leader's answer: all records first, then the bytes of one message.
 fn part_of(request: &CopyRequest) -> CopyPart {
     let (n, next, complete) = (MESSAGES, MESSAGES + 1, true);
     let empty =
@@ -92,7 +92,7 @@
         self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 
-    /// Lets time pass while the keeper answers for all partitions but these.
+    /// Lets time pass while the leader answers for all partitions but these.
     fn run(&mut self, span: Span, unanswered: &[u32]) {
         let end = self.now + span;
         while self.now < end {
--- a/crates/waitlist/tests/copies.rs
+++ b/crates/queue/tests/copies.rs
@@ -1,13 +1,13 @@
 //! A replica that is made whole while operations still reach it.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 
 const NOW: Time = Time::millis(10_000);
 const EPOCH: Epoch = Epoch { term: Term(1), count: 1 };
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 fn head(name: &str, seq: u64) -> MessageHeader {
@@ -19,12 +19,12 @@
     PartitionOp::Put(head(name, seq), Stage::Pending, Bytes::from(name.to_string()))
 }
 
-/// A replica, and what it says to its keeper.
+/// A replica, and what it says to its leader.
 struct Replica {
     now: Time,
     core: Store,
     acknowledged: Vec<u64>,
-    /// What it asked of its keeper.
+    /// What it asked of its leader.
     asked: Vec<PeerMessage>,
 }
 
@@ -66,15 +66,15 @@
         self.hear(PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops: vec![op] });
     }
 
-    fn part(&self) -> &dw_waitlist::part::Part {
+    fn part(&self) -> &dw_queue::part::Part {
         &self.core.parts[&place()]
     }
 }
 
-/// Issue 29: the keeper had let go of operations that this replica lacked, and
+/// Issue 29: the leader had let go of operations that this replica lacked, and
 /// had it copy the whole; the operations came after all, and were acknowledged.
 /// The older copy then took their place: accepted messages were gone, and a
-/// success was forgotten, while the keeper counted both as kept here.
+/// success was forgotten, while the leader counted both as kept here.
 #[test]
 fn a_copy_older_than_what_was_acknowledged_takes_nothing_away() {
     let mut replica = Replica::with_one_message();
--- a/crates/waitlist/tests/departure.rs
+++ b/crates/queue/tests/departure.rs
@@ -1,7 +1,7 @@
 //! A store that was told to stop: it goes when placement lets it, and never
 //! later than its bound. One core, driven by steps; the test is placement.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 
 const STEP: Span = Span::millis(20);
--- a/crates/waitlist/tests/disk_stuck.rs
+++ b/crates/queue/tests/disk_stuck.rs
@@ -2,7 +2,7 @@
 //! meanwhile.
 mod settings;
 mod trio;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use trio::*;
 
 #[test]
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn a_keeper_with_a_stuck_disk_gives_its_partition_to_a_store_whose_disk_works() {
+fn a_leader_with_a_stuck_disk_gives_its_partition_to_a_store_whose_disk_works() {
     let mut fleet = Fleet::new();
     fleet.carry(1, 1);
     fleet.stick(1);
     fleet.run(Span::secs(2));
-    assert_eq!(fleet.keeper, 2);
+    assert_eq!(fleet.leader, 2);
     assert_eq!(fleet.phase(1), None);
     assert_eq!(fleet.phase(2), Some(Phase::Serving));
     assert!(fleet.reports[&store(1)].leaving);
@@ -45,14 +45,14 @@
     fleet.run(Span::millis(300));
     fleet.free(1);
     fleet.run(Span::secs(3));
-    assert_eq!((fleet.keeper, fleet.phase(1)), (1, Some(Phase::Serving)));
+    assert_eq!((fleet.leader, fleet.phase(1)), (1, Some(Phase::Serving)));
 }
 
 #[test]
 fn a_follower_with_a_stuck_disk_gives_way_to_another_in_time() {
     let mut fleet = Fleet::new();
-    let mate = fleet.own(1).unwrap().mates.keys().next().cloned().unwrap();
-    let number = (1..=3).find(|n| store(*n) == mate).unwrap();
+    let backup = fleet.own(1).unwrap().backups.keys().next().cloned().unwrap();
+    let number = (1..=3).find(|n| store(*n) == backup).unwrap();
     fleet.stick(number);
     fleet.carry(1, 1);
     assert!(!fleet.accepted(1));
@@ -62,7 +62,7 @@
     assert!(fleet.accepted(2), "{:?}", fleet.told);
     fleet.free(number);
     fleet.run(Span::secs(1));
-    assert_eq!(fleet.keeper, 1);
+    assert_eq!(fleet.leader, 1);
 }
 
 #[test]
@@ -83,13 +83,13 @@
 /// The replica that holds the most answered the seal and is then gone for
 /// good: the other majority holds everything acknowledged, too.
 #[test]
-fn a_keeper_whose_source_of_the_copy_is_gone_takes_another() {
+fn a_leader_whose_source_of_the_copy_is_gone_takes_another() {
     let mut fleet = Fleet::new();
     fleet.carry(1, 1);
     assert!(fleet.accepted(1), "{:?}", fleet.told);
-    let mate = fleet.own(1).unwrap().mates.keys().next().cloned().unwrap();
-    let third = (2..=3).find(|n| store(*n) != mate).unwrap();
-    fleet.keeper = third;
+    let backup = fleet.own(1).unwrap().backups.keys().next().cloned().unwrap();
+    let third = (2..=3).find(|n| store(*n) != backup).unwrap();
+    fleet.leader = third;
     fleet.epoch += 1;
     while fleet.phase(third) != Some(Phase::Fetching) {
         if !fleet.settle_one() {
--- a/crates/waitlist/tests/doubt.rs
+++ b/crates/queue/tests/doubt.rs
@@ -1,7 +1,7 @@
 //! How soon a message runs again of which nobody knows whether it has run.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::daemon;
 
--- a/crates/waitlist/tests/due.rs
+++ b/crates/queue/tests/due.rs
@@ -1,5 +1,5 @@
 //! Which message of a route goes next.
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 
 const NOW: Time = Time::millis(10_000);
 /// What is wanted since then or later can still begin in time.
--- a/crates/waitlist/tests/frozen.rs
+++ b/crates/queue/tests/frozen.rs
@@ -1,7 +1,7 @@
 //! A store that stood still reads words that lay in its socket meanwhile.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::*;
 
--- a/crates/waitlist/tests/hand_over.rs
+++ b/crates/queue/tests/hand_over.rs
@@ -1,7 +1,7 @@
-//! What is known of attempts when a partition goes from keeper to keeper.
+//! What is known of attempts when a partition goes from leader to leader.
 mod settings;
 mod trio;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 use trio::*;
 
@@ -14,14 +14,14 @@
 
 /// The partition goes to store `n`, which opens it and rests.
 fn hand_to(fleet: &mut Fleet, n: u64) {
-    fleet.keeper = n;
+    fleet.leader = n;
     fleet.epoch += 1;
     fleet.run(OPENS);
     assert_eq!(fleet.phase(n), Some(Phase::Serving));
     assert!(fleet.own(n).unwrap().quiet > fleet.now, "it does not rest");
 }
 
-/// A delivery tells store `n` that attempt 1 of the first keeper succeeded.
+/// A delivery tells store `n` that attempt 1 of the first leader succeeded.
 fn tell_success(fleet: &mut Fleet, n: u64) {
     let epoch = Epoch { term: TERM, count: 1 };
     let told = AttemptOutcome::Success;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_success_told_to_a_resting_keeper_is_noted_at_once_and_shown_after_the_rest() {
+fn a_success_told_to_a_resting_leader_is_noted_at_once_and_shown_after_the_rest() {
     let mut fleet = accepted_and_handed_over();
     tell_success(&mut fleet, 2);
     assert_eq!(fleet.noted, [(daemon("delivery-1"), 1)]);
@@ -81,9 +81,9 @@
     assert_eq!(shown_by(&mut fleet, 2), Stage::Ended(Outcome::Succeeded));
 }
 
-/// Incident TWICE: the next keeper knew nothing of it and ran the message.
+/// Incident TWICE: the next leader knew nothing of it and ran the message.
 #[test]
-fn a_success_told_to_a_resting_keeper_is_known_to_the_next_ones() {
+fn a_success_told_to_a_resting_leader_is_known_to_the_next_ones() {
     let mut fleet = accepted_and_handed_over();
     tell_success(&mut fleet, 2);
     hand_to(&mut fleet, 3);
--- a/crates/waitlist/tests/lane.rs
+++ b/crates/queue/tests/lane.rs
@@ -1,5 +1,5 @@
 //! What is due to be handed out, and what is told of it to placement.
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 
 const NOW: Time = Time::millis(10_000);
 
@@ -22,7 +22,7 @@
     let mut lane = Lane::default();
     lane.line.extend([(Time::millis(9_000), 1), (NOW, 2), (Time::millis(10_001), 3)]);
     assert_eq!(lane.ready(NOW, 100), 2);
-    let place = PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 };
+    let place = PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 0 };
     lane.flights.insert(4, flight(Duty::Deliver(place)));
     lane.flights.insert(5, flight(Duty::Endpoint("desk-1".into())));
     assert_eq!(lane.ready(NOW, 100), 3);
--- a/crates/waitlist/tests/lives.rs
+++ b/crates/queue/tests/lives.rs
@@ -1,7 +1,7 @@
 //! Which life of a delivery a store believes.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 
 #[test]
--- a/crates/waitlist/tests/loaded/mod.rs
+++ b/crates/queue/tests/loaded/mod.rs
@@ -3,11 +3,11 @@
 //! away. What one says reaches another a step later.
 #![allow(dead_code)]
 use crate::settings::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const STEP: Span = Span::millis(5);
-const KEEPER: &str = "store-1";
+const LEADER: &str = "store-1";
 const TERM: Term = Term(1);
 const EPOCH: Epoch = Epoch { term: TERM, count: 1 };
 /// Bytes of each message.
@@ -18,7 +18,7 @@
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 /// The name of the message that is handed in under this number.
@@ -52,7 +52,7 @@
     report: Report,
     /// The largest message between two stores, in bytes.
     pub largest: usize,
-    /// Bytes that the keeper sent to the replica.
+    /// Bytes that the leader sent to the replica.
     pub sent_to_replica: usize,
     /// Parts of copies that it sent.
     pub parts: usize,
@@ -75,7 +75,7 @@
             cut: BTreeSet::new(),
             delay: Span::ZERO,
             late: VecDeque::new(),
-            replica: daemon(KEEPER),
+            replica: daemon(LEADER),
             set: Vec::new(),
             under_way: VecDeque::new(),
             handed_in: 0,
@@ -93,8 +93,8 @@
         }
         all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
-        let own = all.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper");
-        all.replica = own.mates.keys().next().expect("a replica").clone();
+        let own = all.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        all.replica = own.backups.keys().next().expect("a replica").clone();
         for _ in 0..count {
             all.hand_in();
         }
@@ -124,10 +124,10 @@
         self.zones[number - 1].clone()
     }
 
-    /// Which peers get every operation of the keeper.
-    pub fn mates(&self) -> Vec<Daemon> {
-        let own = self.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper");
-        own.mates.keys().cloned().collect()
+    /// Which peers get every operation of the leader.
+    pub fn backups(&self) -> Vec<Daemon> {
+        let own = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        own.backups.keys().cloned().collect()
     }
 
     /// What one store says to another comes so much later from here on.
@@ -189,7 +189,7 @@
         self.start_empty(replica.as_str(), IncarnationId(22));
     }
 
-    /// One message's bytes are altered at the keeper, and no other store has
+    /// One message's bytes are altered at the leader, and no other store has
     /// them.
     pub fn alter_one(&mut self) {
         self.queue.clear();
@@ -200,18 +200,18 @@
         }
     }
 
-    /// The keeper reaches no other store for a while, in which half as many
+    /// The leader reaches no other store for a while, in which half as many
     /// messages come in.
     pub fn cut_off(&mut self, span: Span) {
         self.pace = 2;
-        self.cut.insert(daemon(KEEPER));
+        self.cut.insert(daemon(LEADER));
         self.run(span);
         self.cut.clear();
         self.pace = 1;
         self.notes.clear();
     }
 
-    /// How long until the replica holds all under the keeper's epoch.
+    /// How long until the replica holds all under the leader's epoch.
     pub fn run_until_whole(&mut self, most: Span) -> Span {
         let begun = self.now;
         while !self.is_whole() {
@@ -221,13 +221,13 @@
         self.now.since(begun)
     }
 
-    /// By the keeper's own word: the copy counts, or may be counted.
+    /// By the leader's own word: the copy counts, or may be counted.
     fn is_whole(&self) -> bool {
         let replica = &self.cores[&self.replica];
-        let Some(own) = self.cores[&daemon(KEEPER)].parts[&place()].own.as_ref() else { return false };
+        let Some(own) = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref() else { return false };
         let told = own.whole.get(&self.replica) == Some(&replica.mark);
         let have = own.peers.get(&self.replica).and_then(|s| s.have);
-        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(KEEPER)].parts[&place()].n);
+        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].parts[&place()].n);
         level && (told || own.counts(&self.replica, replica.mark))
     }
 
@@ -246,7 +246,7 @@
             let part = &self.cores[&daemon(name)].parts[&place()];
             part.recs.values().map(|r| (r.head.clone(), r.stage, r.bytes())).collect()
         };
-        let (kept, copied) = (records(KEEPER), records(self.replica.as_str()));
+        let (kept, copied) = (records(LEADER), records(self.replica.as_str()));
         assert_eq!(kept.len(), copied.len());
         for (kept, copied) in kept.iter().zip(&copied) {
             assert_eq!(kept, copied);
@@ -303,7 +303,7 @@
         let size = encode(&msg).len();
         self.largest = self.largest.max(size);
         self.parts += usize::from(matches!(msg, PeerMessage::CopyPart { .. }));
-        if *from == daemon(KEEPER) && to == self.replica {
+        if *from == daemon(LEADER) && to == self.replica {
             self.sent_to_replica += size;
         }
         let event = Event::MessageReceived { from: from.clone(), message: msg };
@@ -320,17 +320,17 @@
             let zone = self.zone_of(id.as_str());
             Member { disk_id: core.mark, ..member(id.as_str(), &zone) }
         });
-        let placing = PartitionLocation { keeper: daemon(KEEPER), epoch: EPOCH };
+        let placing = PartitionLocation { leader: daemon(LEADER), epoch: EPOCH };
         let items = vec![
-            (version, Update::Charter(ROUTES.to_string())),
+            (version, Update::Config(ROUTES.to_string())),
             (version, Update::Members(members.collect())),
             (version, Update::Partitions(vec![(place(), placing)])),
         ];
         let mut grants = Vec::new();
-        if *to == daemon(KEEPER) && !self.set.is_empty() {
+        if *to == daemon(LEADER) && !self.set.is_empty() {
             self.report = report.unwrap_or_default();
             let set = self.set.clone();
-            let duty = Duty::Keep(place());
+            let duty = Duty::Lead(place());
             grants.push(Grant {
                 duty,
                 epoch: EPOCH,
@@ -380,7 +380,7 @@
             }),
             refusal: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
 
     /// The delivery says what it takes.
@@ -395,7 +395,7 @@
             in_flight: Vec::new(),
             routed: Some(reach),
         };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 
     /// A worker is done with a message; not always with the oldest.
@@ -413,6 +413,6 @@
             ended_ago: Span::ZERO,
         };
         let msg = PeerMessage::AttemptResults { entries: vec![one] };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 }
--- a/crates/waitlist/tests/pair/mod.rs
+++ b/crates/queue/tests/pair/mod.rs
@@ -2,7 +2,7 @@
 //! it; the second only acknowledges.
 #![allow(dead_code)]
 use crate::settings::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use std::collections::BTreeMap;
 
 pub const NOW: Time = Time::millis(10_000);
@@ -15,7 +15,7 @@
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
 pub fn place() -> PartitionId {
-    PartitionId { tenant: "~".into(), waitlist: "spool".into(), number: 0 }
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 pub fn epoch() -> Epoch {
@@ -82,14 +82,14 @@
     pub fn news(&self, at: usize, asked: Time) -> PeerMessage {
         let version = Version { term: TERM, count: 1 };
         let member_of = |n: u64| Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
-        let placing = PartitionLocation { keeper: daemon("store-1"), epoch: epoch() };
+        let placing = PartitionLocation { leader: daemon("store-1"), epoch: epoch() };
         let items = vec![
-            (version, Update::Charter(ROUTES.to_string())),
+            (version, Update::Config(ROUTES.to_string())),
             (version, Update::Members(vec![member_of(1), member_of(2)])),
             (version, Update::Partitions(vec![(place(), placing)])),
         ];
         let set = (1..=2).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
-        let duty = Duty::Keep(place());
+        let duty = Duty::Lead(place());
         let grant = Grant {
             duty,
             epoch: epoch(),
--- a/crates/waitlist/tests/released.rs
+++ b/crates/queue/tests/released.rs
@@ -1,7 +1,7 @@
 //! The bytes of routed messages that were done are let go of.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::*;
 
--- a/crates/waitlist/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -1,25 +1,25 @@
-//! A partition's keeper while one of its stores is replaced: what a copy must
+//! A partition's leader while one of its stores is replaced: what a copy must
 //! hold before it may take the seat. Three store cores and a joiner, driven by
 //! steps alone; the test stands for placement and hands out the grants.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
-use std::collections::VecDeque as Queue;
+use std::collections::VecDeque;
 
 const STEP: Span = Span::millis(50);
-const KEEPER: &str = "store-1";
+const LEADER: &str = "store-1";
 const LEAVER: &str = "store-2";
 const THIRD: &str = "store-3";
 const JOINER: &str = "store-4";
-/// It stands in the keeper's zone.
+/// It stands in the leader's zone.
 const NEIGHBOUR: &str = "store-9";
 
 fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 0 }
+    PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 0 }
 }
 
 fn in_own_zone(name: &str) -> Member {
-    let zone_of = if name == NEIGHBOUR { KEEPER } else { name };
+    let zone_of = if name == NEIGHBOUR { LEADER } else { name };
     member(name, &zone_of.replace("store", "zone"))
 }
 
@@ -28,12 +28,12 @@
     cores: BTreeMap<Daemon, Store>,
     /// Stores that hear nothing and are heard by nobody.
     cut: BTreeSet<Daemon>,
-    queue: Queue<(Daemon, Event)>,
+    queue: VecDeque<(Daemon, Event)>,
     set: Vec<(Daemon, IncarnationId)>,
-    /// The count of the keeper's epoch.
+    /// The count of the leader's epoch.
     epoch: u64,
     swap: Option<(Daemon, Daemon, u64)>,
-    /// What the keeper last reported.
+    /// What the leader last reported.
     report: Report,
     accepted: BTreeSet<u64>,
     /// Stores started as yet: the version of the list of members.
@@ -43,14 +43,14 @@
 
 impl Stores {
     fn new() -> Stores {
-        Stores::with_set(&[KEEPER, LEAVER, THIRD])
+        Stores::with_set(&[LEADER, LEAVER, THIRD])
     }
     fn with_set(set: &[&str]) -> Stores {
         let mut s = Stores {
             now: Time::millis(1_000),
             cores: BTreeMap::new(),
             cut: BTreeSet::new(),
-            queue: Queue::new(),
+            queue: VecDeque::new(),
             set: Vec::new(),
             epoch: 1,
             swap: None,
@@ -64,7 +64,7 @@
         }
         s.set = set.iter().map(|n| (daemon(n), s.mark(n))).collect();
         s.run(3_000);
-        assert_eq!(s.keeper().phase, Phase::Serving);
+        assert_eq!(s.leader().phase, Phase::Serving);
         s
     }
     /// Starts a store on an empty folder.
@@ -84,8 +84,8 @@
     fn mark(&self, name: &str) -> IncarnationId {
         self.cores[&daemon(name)].mark
     }
-    fn keeper(&self) -> &Keep {
-        self.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper")
+    fn leader(&self) -> &LeaderState {
+        self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader")
     }
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
@@ -103,21 +103,21 @@
             }
         }
     }
-    /// Answers a pull as placement does: members, and the keeper's grant.
+    /// Answers a pull as placement does: members, and the leader's grant.
     fn answer(&mut self, to: &Daemon, asked: Time, report: Option<Report>) {
         let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.mark, ..in_own_zone(d.as_str()) }).collect();
         let version = Version { term: Term(1), count: 1 };
         let rules = json_of_rules();
         let listed = Version { count: self.starts, ..version };
-        let items = vec![(listed, Update::Members(members)), (version, Update::Charter(rules))];
+        let items = vec![(listed, Update::Members(members)), (version, Update::Config(rules))];
         let mut grants = Vec::new();
-        if *to == daemon(KEEPER) && !self.set.is_empty() {
+        if *to == daemon(LEADER) && !self.set.is_empty() {
             self.report = report.unwrap_or_default();
             let (swap, swap_number) = match self.swap.clone() {
                 Some((out, joiner, n)) => (Some((out, joiner)), Version { term: Term(1), count: n }),
                 None => (None, Version::ZERO),
             };
-            let duty = Duty::Keep(place());
+            let duty = Duty::Lead(place());
             let epoch = Epoch { term: Term(1), count: self.epoch };
             grants.push(Grant {
                 duty,
@@ -172,9 +172,9 @@
             age_bound: None,
             refusal: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
-    /// Hands messages to the keeper; all are accepted.
+    /// Hands messages to the leader; all are accepted.
     fn hand_in(&mut self, count: u64) {
         let first = self.asked + 1;
         for _ in 0..count {
@@ -186,7 +186,7 @@
         let missing: Vec<u64> = (first..=self.asked).filter(|n| !self.accepted.contains(n)).collect();
         assert!(missing.is_empty(), "not accepted: {missing:?}");
     }
-    /// Whether the keeper's last report lets placement move the seat.
+    /// Whether the leader's last report lets placement move the seat.
     fn seat_may_move(&self) -> bool {
         let Some((_, joiner, n)) = &self.swap else { return false };
         let number = Version { term: Term(1), count: *n };
@@ -252,14 +252,14 @@
     s.replace(1);
     s.run(1_000);
     s.cut.insert(daemon(THIRD));
-    let before = s.keeper().committed;
-    let op = s.keeper().durable;
+    let before = s.leader().committed;
+    let op = s.leader().durable;
     s.asked += 1;
     let body = Bytes::from_static(b"late");
     s.carry(s.asked, body);
     s.run(2_000);
-    assert!(s.keeper().durable > op, "written here");
-    assert_eq!(s.keeper().committed, before);
+    assert!(s.leader().durable > op, "written here");
+    assert_eq!(s.leader().committed, before);
     assert!(s.accepted.is_empty());
     // The joiner has the seat: it counts, once it has the op.
     s.set[1] = (daemon(JOINER), s.mark(JOINER));
@@ -270,7 +270,7 @@
 
 #[test]
 fn in_a_set_of_five_a_message_is_accepted_once_it_stands_on_three() {
-    let set = [KEEPER, LEAVER, THIRD, "store-5", "store-6"];
+    let set = [LEADER, LEAVER, THIRD, "store-5", "store-6"];
     let mut s = Stores::with_set(&set);
     s.hand_in(10);
     let copies = set.iter().filter(|name| s.has(name) == 10).count();
@@ -288,20 +288,20 @@
     assert_eq!((s.accepted.contains(&11), s.has("store-6")), (true, 11));
 }
 
-/// The only store of another zone is gone for good, and the keeper has just
+/// The only store of another zone is gone for good, and the leader has just
 /// opened the partition anew: it waits for a second copy in another zone.
 fn without_another_zone() -> Stores {
-    let mut s = Stores::with_set(&[KEEPER, LEAVER, NEIGHBOUR]);
+    let mut s = Stores::with_set(&[LEADER, LEAVER, NEIGHBOUR]);
     s.hand_in(20);
     s.cut.insert(daemon(LEAVER));
     s.epoch = 2;
     s.run(2_000);
-    assert_eq!(s.keeper().phase, Phase::Spreading);
+    assert_eq!(s.leader().phase, Phase::Spreading);
     s
 }
 
 /// Issue 32: the successor of the only store in another zone was made whole by
-/// keepers that serve, and this one serves only once it has a copy there. The
+/// leaders that serve, and this one serves only once it has a copy there. The
 /// partition never opened again.
 #[test]
 fn a_partition_that_waits_for_another_zone_makes_the_successor_whole() {
@@ -312,7 +312,7 @@
     s.set[1] = (daemon(JOINER), s.mark(JOINER));
     s.swap = None;
     s.run(1_500);
-    assert_eq!((s.keeper().phase, s.has(JOINER)), (Phase::Serving, 20));
+    assert_eq!((s.leader().phase, s.has(JOINER)), (Phase::Serving, 20));
 }
 
 /// The same with a store that comes back without its disk.
@@ -326,13 +326,13 @@
     assert!(s.report.complete_copies.contains(&(place(), daemon(LEAVER), fresh)), "the lost disk is never made whole");
     s.set[1] = (daemon(LEAVER), fresh);
     s.run(1_500);
-    assert_eq!((s.keeper().phase, s.has(LEAVER)), (Phase::Serving, 20));
+    assert_eq!((s.leader().phase, s.has(LEAVER)), (Phase::Serving, 20));
 }
 
-/// What the keeper tells operators of its partition.
+/// What the leader tells operators of its partition.
 fn status(s: &mut Stores) -> String {
-    let keeper = s.cores.get_mut(&daemon(KEEPER)).unwrap();
-    let out = keeper.step(Event::Request(RequestId(1), ApiRequest::Status), s.now);
+    let leader = s.cores.get_mut(&daemon(LEADER)).unwrap();
+    let out = leader.step(Event::Request(RequestId(1), ApiRequest::Status), s.now);
     out.into_iter().find_map(|e| if let Effect::Respond(_, v) = e { Some(v.json) } else { None }).unwrap()
 }
 
@@ -370,7 +370,7 @@
     s.set.push(joiner);
     s.swap = None;
     s.run(1_000);
-    assert_eq!(s.keeper().mates_needed(), 2, "three of four");
+    assert_eq!(s.leader().backups_needed(), 2, "three of four");
     s.hand_in(10);
     let full = [LEAVER, THIRD, JOINER].iter().filter(|name| s.has(name) == 35).count();
     assert!(full >= 2, "{full} of the other three have what was accepted");
--- a/crates/waitlist/tests/rest.rs
+++ b/crates/queue/tests/rest.rs
@@ -1,5 +1,5 @@
 //! How long records rest when a partition is opened.
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 
 const NOW: Time = Time::millis(100_000);
 
--- a/crates/waitlist/tests/settings/mod.rs
+++ b/crates/queue/tests/settings/mod.rs
@@ -1,5 +1,5 @@
 //! What a store under test is started with; tests change what they need.
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 
 pub fn daemon(name: &str) -> Daemon {
     Daemon(name.to_string())
--- a/crates/waitlist/tests/silent_mates.rs
+++ b/crates/queue/tests/silent_backups.rs
@@ -1,7 +1,7 @@
 //! How soon a peer that gets every operation gives way when it falls silent.
 mod loaded;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use loaded::Loaded;
 
 fn busy() -> Loaded {
@@ -12,28 +12,28 @@
 }
 
 /// Day trouble-1: a machine that lost power closed no line, and each partition
-/// of which its store was mate stood still for half a second.
+/// of which its store was backup stood still for half a second.
 #[test]
 fn one_that_used_to_be_fast_gives_way_within_a_fifth_of_a_second() {
     for at in 0..2 {
         let mut all = busy();
-        let gone = all.mates()[at].clone();
+        let gone = all.backups()[at].clone();
         all.cut(&gone);
         all.run(Span::millis(200));
-        let mates = all.mates();
-        assert!(!mates.contains(&gone), "{mates:?}");
-        assert_eq!(mates.len(), 2);
+        let backups = all.backups();
+        assert!(!backups.contains(&gone), "{backups:?}");
+        assert_eq!(backups.len(), 2);
     }
 }
 
-/// What they sent meanwhile lies unread: it was the keeper that stood still.
+/// What they sent meanwhile lies unread: it was the leader that stood still.
 #[test]
-fn none_gives_way_because_the_keeper_stood_still() {
+fn none_gives_way_because_the_leader_stood_still() {
     let mut all = busy();
-    let before = all.mates();
+    let before = all.backups();
     all.stand_still(Span::secs(1));
     all.run(Span::millis(400));
-    assert_eq!(all.mates(), before);
+    assert_eq!(all.backups(), before);
 }
 
 /// The same acknowledgements, slower and slower: what is usual of late counts.
@@ -53,7 +53,7 @@
     assert!(peer.note_behind(4, now));
     assert!(!peer.is_silent(Time(0), patience, now + Span::millis(390)));
     assert!(peer.is_silent(Time(0), patience, now + Span::millis(410)));
-    // One that copies the whole, or has shown nothing as a mate, has longest.
+    // One that copies the whole, or has shown nothing as a backup, has longest.
     let joined = now + Span::millis(1);
     assert!(!peer.is_silent(joined, patience, joined + Span::millis(470)));
     let mut copying = peer;
@@ -62,7 +62,7 @@
     assert!(copying.is_silent(Time(0), patience, now + Span::millis(490)));
 }
 
-/// Finding of a soak with far too high a load: mates changed hundreds of times
+/// Finding of a soak with far too high a load: backups changed hundreds of times
 /// a second, and each change was a copy of a partition.
 #[test]
 fn patience_grows_each_time_one_gives_way_and_comes_back() {
@@ -80,12 +80,12 @@
 }
 
 /// All peers answer late from some moment on, as under a load that is too
-/// high: mates change a few times, not on and on.
+/// high: backups change a few times, not on and on.
 #[test]
-fn a_load_that_slows_all_peers_does_not_make_mates_change_on_and_on() {
+fn a_load_that_slows_all_peers_does_not_make_backups_change_on_and_on() {
     let mut all = busy();
     all.delay(Span::millis(400));
     all.run(Span::secs(6));
-    let changes = all.notes_of(LogEvent::MateMatched);
+    let changes = all.notes_of(LogEvent::BackupChosen);
     assert!(changes <= 4, "{changes} changes");
 }
--- a/crates/waitlist/tests/snapshot.rs
+++ b/crates/queue/tests/snapshot.rs
@@ -1,8 +1,8 @@
-//! A store whose disk was lost is made whole while its keeper takes messages
+//! A store whose disk was lost is made whole while its leader takes messages
 //! in and messages end.
 mod loaded;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use loaded::*;
 
 /// Issue 32: each message that ended between the list and its bytes made the
--- a/crates/waitlist/tests/spread_mates.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -1,16 +1,16 @@
-//! Where one mate is needed, second copies are spread over the write set,
+//! Where one backup is needed, second copies are spread over the write set,
 //! whichever store answered first.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
-use std::collections::VecDeque as Queue;
+use std::collections::VecDeque;
 
 const STEP: Span = Span::millis(20);
-const KEEPER: &str = "store-1";
+const LEADER: &str = "store-1";
 const FAST: &str = "store-2";
 const SLOW: &str = "store-3";
 const PARTITIONS: u32 = 8;
-const CHARTER: &str = r#"{"revision":1,"spool":8,"services":[{"name":"s"}],
+const CONFIG: &str = r#"{"revision":1,"spool":8,"services":[{"name":"s"}],
   "routes":[{"name":"r","host":"h","prefix":"/a/","service":"s","attempts":3,"attempt_ms":1000,"verdict_ms":80}]}"#;
 
 fn in_own_zone(name: &str) -> Member {
@@ -21,8 +21,8 @@
 struct Stores {
     now: Time,
     cores: BTreeMap<Daemon, Store>,
-    queue: Queue<(Daemon, Event)>,
-    late: Queue<(Daemon, Event)>,
+    queue: VecDeque<(Daemon, Event)>,
+    late: VecDeque<(Daemon, Event)>,
     epoch: u64,
     /// Questions for whole copies.
     copies: usize,
@@ -33,12 +33,12 @@
         let mut stores = Stores {
             now: Time::millis(1_000),
             cores: BTreeMap::new(),
-            queue: Queue::new(),
-            late: Queue::new(),
+            queue: VecDeque::new(),
+            late: VecDeque::new(),
             epoch: 1,
             copies: 0,
         };
-        for name in [KEEPER, FAST, SLOW] {
+        for name in [LEADER, FAST, SLOW] {
             let me = in_own_zone(name);
             let mark = me.disk_id;
             let settings = Startup { pull: Span::millis(300), seed: mark.0, ..startup(me) };
@@ -68,14 +68,14 @@
         }
     }
 
-    /// Grants all partitions to the keeper.
+    /// Grants all partitions to the leader.
     fn answer(&mut self, to: &Daemon, asked: Time) {
         let version = Version { term: Term(1), count: 1 };
-        let members: Vec<Member> = [KEEPER, FAST, SLOW].map(in_own_zone).to_vec();
+        let members: Vec<Member> = [LEADER, FAST, SLOW].map(in_own_zone).to_vec();
         let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
-        let items = vec![(version, Update::Members(members)), (version, Update::Charter(CHARTER.to_string()))];
+        let items = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
         let grant = |part: u32| Grant {
-            duty: Duty::Keep(Rules::spool_place(part)),
+            duty: Duty::Lead(Rules::spool_place(part)),
             epoch: Epoch { term: Term(1), count: self.epoch },
             write_set: set.clone(),
             replacement: None,
@@ -83,7 +83,7 @@
             release_requested: false,
             slot_range: None,
         };
-        let granted = if to.as_str() == KEEPER { PARTITIONS } else { 0 };
+        let granted = if to.as_str() == LEADER { PARTITIONS } else { 0 };
         let grants = (0..granted).map(grant).collect();
         let fresh = Some(Span::millis(2_500));
         let msg = PeerMessage::PullResponse {
@@ -117,37 +117,37 @@
         }
     }
 
-    fn keeps(&self) -> Vec<&Keep> {
-        self.cores[&daemon(KEEPER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
+    fn leader_states(&self) -> Vec<&LeaderState> {
+        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
     }
 
     /// How many partitions have their second copy at each store.
-    fn mates(&self) -> BTreeMap<String, usize> {
-        let mut mates = BTreeMap::new();
-        for keep in self.keeps() {
-            assert_eq!((keep.phase, keep.mates.len()), (Phase::Serving, 1), "{:?}", keep.mates);
-            for mate in keep.mates.keys() {
-                *mates.entry(mate.to_string()).or_default() += 1;
+    fn backups(&self) -> BTreeMap<String, usize> {
+        let mut backups = BTreeMap::new();
+        for leader_state in self.leader_states() {
+            assert_eq!((leader_state.phase, leader_state.backups.len()), (Phase::Serving, 1), "{:?}", leader_state.backups);
+            for backup in leader_state.backups.keys() {
+                *backups.entry(backup.to_string()).or_default() += 1;
             }
         }
-        mates
+        backups
     }
 }
 
 #[test]
 fn second_copies_are_not_all_at_the_store_that_answered_first() {
     let stores = Stores::new();
-    let mates = stores.mates();
-    assert_eq!(stores.keeps().len(), PARTITIONS as usize);
-    assert!(mates.values().all(|count| *count >= 2) && mates.len() == 2, "{mates:?}");
+    let backups = stores.backups();
+    assert_eq!(stores.leader_states().len(), PARTITIONS as usize);
+    assert!(backups.values().all(|count| *count >= 2) && backups.len() == 2, "{backups:?}");
     assert_eq!(stores.copies, 0, "all of them stood alike");
 }
 
 #[test]
 fn a_store_that_would_need_a_copy_is_not_drawn_in() {
     let mut stores = Stores::new();
-    let before = stores.mates();
-    // Each partition goes on with its mate alone; then all are opened anew.
+    let before = stores.backups();
+    // Each partition goes on with its backup alone; then all are opened anew.
     for part in 0..PARTITIONS {
         let body = Bytes::from_static(b"body");
         let id = MessageId(format!("m{part}"));
@@ -164,12 +164,12 @@
             age_bound: None,
             refusal: None,
         };
-        stores.queue.push_back((daemon(KEEPER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
+        stores.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
     stores.run(1_000);
     stores.epoch = 2;
     stores.run(4_000);
-    let after = stores.mates();
+    let after = stores.backups();
     assert_eq!(after.values().sum::<usize>(), PARTITIONS as usize);
     assert_eq!(stores.copies, 0, "{before:?} to {after:?}");
 }
--- a/crates/waitlist/tests/stranded.rs
+++ b/crates/queue/tests/stranded.rs
@@ -1,7 +1,7 @@
 //! An open message that nothing would ever run again.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 
 #[test]
--- a/crates/waitlist/tests/success_and_news.rs
+++ b/crates/queue/tests/success_and_news.rs
@@ -2,7 +2,7 @@
 //! order: its message is never handed out again (issue 32).
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::*;
 
--- a/crates/waitlist/tests/trio/mod.rs
+++ b/crates/queue/tests/trio/mod.rs
@@ -1,11 +1,11 @@
 //! Three stores of one write set, driven by steps. Placement is played by the
-//! fixture: it grants the one partition to `keeper` under `epoch`.
+//! fixture: it grants the one partition to `leader` under `epoch`.
 #![allow(dead_code)]
 use crate::settings::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
-pub const CHARTER: &str = include_str!("../../../../samples/kharita/charter.json");
+pub const CONFIG: &str = include_str!("../../../../samples/kharita/charter.json");
 pub const STEP: Span = Span::millis(20);
 pub const TERM: Term = Term(1);
 
@@ -14,7 +14,7 @@
 }
 
 pub fn place() -> PartitionId {
-    PartitionId { tenant: "curators".into(), waitlist: "sheets".into(), number: 1 }
+    PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 1 }
 }
 
 pub fn numbered(n: u64) -> Member {
@@ -37,7 +37,7 @@
     pub disks: BTreeMap<Daemon, Disk>,
     pub queue: VecDeque<(Daemon, Event)>,
     pub epoch: u64,
-    pub keeper: u64,
+    pub leader: u64,
     /// Attempts noted to deliveries.
     pub noted: Vec<(Daemon, u64)>,
     /// Attempts handed out.
@@ -59,7 +59,7 @@
             disks: BTreeMap::new(),
             queue: VecDeque::new(),
             epoch: 1,
-            keeper: 1,
+            leader: 1,
             noted: Vec::new(),
             offers: Vec::new(),
             shown: None,
@@ -77,7 +77,7 @@
         fleet
     }
 
-    pub fn own(&self, n: u64) -> Option<&Keep> {
+    pub fn own(&self, n: u64) -> Option<&LeaderState> {
         self.stores[&store(n)].parts.get(&place()).and_then(|part| part.own.as_ref())
     }
 
@@ -101,15 +101,15 @@
     pub fn news(&self, asked: Time, to: &Daemon) -> PeerMessage {
         let version = |count| Version { term: TERM, count };
         let epoch = Epoch { term: TERM, count: self.epoch };
-        let placing = PartitionLocation { keeper: store(self.keeper), epoch };
+        let placing = PartitionLocation { leader: store(self.leader), epoch };
         let items = vec![
-            (version(1), Update::Charter(CHARTER.to_string())),
+            (version(1), Update::Config(CONFIG.to_string())),
             (version(1), Update::Members((1..=3).map(numbered).collect())),
             (version(self.epoch), Update::Partitions(vec![(place(), placing)])),
         ];
         let set = (1..=3).map(|n| (store(n), IncarnationId(n))).collect();
         let grant = Grant {
-            duty: Duty::Keep(place()),
+            duty: Duty::Lead(place()),
             epoch,
             write_set: set,
             replacement: None,
@@ -117,7 +117,7 @@
             release_requested: false,
             slot_range: None,
         };
-        let grants = if *to == store(self.keeper) { vec![grant] } else { Vec::new() };
+        let grants = if *to == store(self.leader) { vec![grant] } else { Vec::new() };
         PeerMessage::PullResponse {
             requested_at: asked,
             term: TERM,
@@ -147,7 +147,7 @@
                     self.reports.insert(from.clone(), report);
                     if given {
                         self.epoch += 1;
-                        self.keeper = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.keeper);
+                        self.leader = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.leader);
                     }
                     let msg = self.news(asked, from);
                     self.queue.push_back((from.clone(), Event::MessageReceived { from: to, message: msg }));
--- a/crates/scale/src/axes/changes.rs
+++ b/crates/scale/src/axes/changes.rs
@@ -1,5 +1,5 @@
-//! One charter change: what it costs each daemon, by the size of the charter
-//! and of the change.
+//! One configuration change: what it costs each daemon, by the size of the
+//! configuration and of the change.
 use super::sizes;
 use crate::prelude::*;
 use serde_json::json;
@@ -14,7 +14,7 @@
     );
     for n in sizes(quick, &[30, 100, 300, 500]) {
         let shape = Shape { edges: 2, agents: AGENTS, tenants: 1, lists: 1, parts: 1, destinations: n, ..Shape::default() };
-        let text = shape.charter_text();
+        let text = shape.config_text();
         let mut f = Fleet::new(shape);
         let Some(primary) = f.settle(n + 1) else { continue };
         f.run(Span::secs(2));
@@ -49,7 +49,7 @@
                 continue;
             }
             let last =
-                f.notes.iter().filter(|n| n.2 == LogEvent::CharterHeld).map(|n| n.0.since(began)).max().unwrap_or_default();
+                f.notes.iter().filter(|n| n.2 == LogEvent::ConfigInstalled).map(|n| n.0.since(began)).max().unwrap_or_default();
             let name = |what: &str| format!("change of {size}: {what}");
             axis.either(&name("in force everywhere after, ms"), "ms", x, last.as_millis() as f64);
             let p = f.meter(&primary);
--- a/crates/scale/src/axes/destinations.rs
+++ b/crates/scale/src/axes/destinations.rs
@@ -1,4 +1,4 @@
-//! By the number of outside destinations: each is an endpoint, a waitlist
+//! By the number of outside destinations: each is an endpoint, a queue
 //! with one partition, and two duties.
 use super::{control_bytes, each, heap, micros, sizes};
 use crate::prelude::*;
@@ -8,7 +8,7 @@
     for n in sizes(quick, &[10, 100, 300, 1000]) {
         let shape =
             Shape { stores: 6, deliveries: 6, edges: 2, tenants: 1, lists: 1, parts: 1, destinations: n, ..Shape::default() };
-        let text = shape.charter_text();
+        let text = shape.config_text();
         let mut f = Fleet::new(shape);
         let Some(primary) = f.settle(n + 1) else { continue };
         f.run(Span::secs(3));
--- a/crates/scale/src/axes/frames.rs
+++ b/crates/scale/src/axes/frames.rs
@@ -62,7 +62,7 @@
             Some(())
         })
     });
-    let place = PartitionId { tenant: "t".into(), waitlist: "w".into(), number: 0 };
+    let place = PartitionId { tenant: "t".into(), queue: "w".into(), number: 0 };
     let body = Bytes::from(vec![7u8; len]);
     let say = || {
         let all = vec![(MessageId("event".into()), body.clone())];
--- a/crates/scale/src/axes/messages.rs
+++ b/crates/scale/src/axes/messages.rs
@@ -15,7 +15,7 @@
             let body = Bytes::from(vec![n as u8; BODY]);
             let ask = ApiRequest::Submit {
                 tenant: Shape::tenant((n % tenants) as usize),
-                waitlist: Shape::list((n / tenants % lists) as usize),
+                queue: Shape::list((n / tenants % lists) as usize),
                 id: MessageId(format!("event-{n:016}")),
                 key: format!("key-{:08}", n % 10_007),
                 callback: String::new(),
--- a/crates/scale/src/axes/reports.rs
+++ b/crates/scale/src/axes/reports.rs
@@ -8,8 +8,8 @@
     let mut axis = Axis::new("reports", "entries of one kind in one frame", "one frame, written and read");
     let shape = Shape::default();
     let me = shape.member(&Daemon("delivery-00001".into()));
-    let place = |n: usize| PartitionId { tenant: format!("outside-{:06}", n / 50), waitlist: format!("to-{n:07}"), number: 0 };
-    let keeper = Daemon("store-00001".into());
+    let place = |n: usize| PartitionId { tenant: format!("outside-{:06}", n / 50), queue: format!("to-{n:07}"), number: 0 };
+    let leader = Daemon("store-00001".into());
     let epoch = Epoch { term: Term(7), count: 1_234_567 };
     for n in sizes(quick, &[10, 100, 1000, 10_000]) {
         let need = |report: Report| PeerMessage::Pull {
@@ -23,10 +23,10 @@
         let claims: Vec<Claim> = (0..n)
             .map(|i| Claim { duty: Duty::Endpoint(format!("destination-{i:07}")), epoch, from_checkpoint: false })
             .collect();
-        let kept = (0..n).map(|i| Claim { duty: Duty::Keep(place(i)), epoch, from_checkpoint: false }).collect();
+        let kept = (0..n).map(|i| Claim { duty: Duty::Lead(place(i)), epoch, from_checkpoint: false }).collect();
         let held = (0..n).map(|i| (place(i), 123_456)).collect();
         let seen = (0..n).map(|i| (Duty::Endpoint(format!("destination-{i:07}")), me.id.clone())).collect();
-        let assigned = (0..n).map(|i| (place(i), keeper.clone())).collect();
+        let assigned = (0..n).map(|i| (place(i), leader.clone())).collect();
         let set: Vec<(Daemon, IncarnationId)> =
             (1..=3).map(|i| Daemon(format!("store-{i:05}"))).map(|d| (d.clone(), mark_of(&d))).collect();
         let grant = |duty: Duty, set: Vec<(Daemon, IncarnationId)>| Grant {
@@ -46,7 +46,7 @@
             grants,
             late_stores: Vec::new(),
         };
-        let places = (0..n).map(|i| (place(i), PartitionLocation { keeper: keeper.clone(), epoch })).collect();
+        let places = (0..n).map(|i| (place(i), PartitionLocation { leader: leader.clone(), epoch })).collect();
         let all = [
             ("a delivery's claims", need(Report { claims, ..Report::default() })),
             ("a store's claims and counts", need(Report { claims: kept, held, ..Report::default() })),
@@ -56,7 +56,7 @@
                 "a delivery's grants",
                 news(Vec::new(), (0..n).map(|i| grant(Duty::Endpoint(format!("destination-{i:07}")), Vec::new())).collect()),
             ),
-            ("a store's grants", news(Vec::new(), (0..n).map(|i| grant(Duty::Keep(place(i)), set.clone())).collect())),
+            ("a store's grants", news(Vec::new(), (0..n).map(|i| grant(Duty::Lead(place(i)), set.clone())).collect())),
             ("places as news", news(vec![(epoch, Update::Partitions(places))], Vec::new())),
         ];
         for (name, msg) in all {
--- a/crates/scale/src/axes/routes.rs
+++ b/crates/scale/src/axes/routes.rs
@@ -1,4 +1,4 @@
-//! By the number of waitlists a charter names.
+//! By the number of queues a configuration names.
 use super::{each, heap, micros, sizes};
 use crate::prelude::*;
 
@@ -7,7 +7,7 @@
         Axis::new("routes", "waitlists, one partition each", "3 stores, 3 deliveries, 2 edges, 4 workers, 200 messages a second");
     for n in sizes(quick, &[10, 100, 1000]) {
         let shape = Shape { edges: 2, tenants: n / 5, lists: 5, parts: 1, ..Shape::default() };
-        let text = shape.charter_text();
+        let text = shape.config_text();
         let mut f = Fleet::new(shape);
         if f.settle(n).is_none() {
             continue;
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -7,8 +7,8 @@
 use dw_delivery::prelude::{Delivery, Startup as Carrier};
 use dw_ingest::prelude::{Agent, Proxy, Startup as Edge};
 use dw_placement::prelude::{ElectionTiming, Hard, Placement, Startup as Placer};
+use dw_queue::prelude::{Startup as StoreStartup, Store};
 use dw_shell::prelude::{Bounds, Times};
-use dw_waitlist::prelude::{Startup as Keeper, Store};
 use std::collections::HashMap;
 
 const TICK: Span = Span::millis(20);
@@ -140,7 +140,7 @@
                     election: ElectionTiming::default(),
                     window: Span::millis(times.window),
                     hold: Span::millis(times.hold),
-                    charter_lease: Span::millis(times.charter_lease),
+                    config_lease: Span::millis(times.config_lease),
                     platform: "10.0.0.1:80/workers".into(),
                     poll: Span::millis(times.poll),
                     seed,
@@ -152,7 +152,7 @@
                 (Box::new(c), e)
             }
             DaemonKind::Store => {
-                let s = Keeper {
+                let s = StoreStartup {
                     me,
                     seeds,
                     pull,
@@ -273,7 +273,7 @@
                         note,
                         LogEvent::ElectedPrimary
                             | LogEvent::Serving
-                            | LogEvent::CharterHeld
+                            | LogEvent::ConfigInstalled
                             | LogEvent::CollectingReports
                             | LogEvent::PartitionOpened
                     ) {
--- a/crates/scale/src/model.rs
+++ b/crates/scale/src/model.rs
@@ -146,7 +146,7 @@
         how,
     };
     let spare = flow_max - calm(s)?;
-    let (pulls, charter, rooms) = (
+    let (pulls, config, rooms) = (
         "every pull tells all that is held",
         "each change sends every daemon the whole charter",
         "each room told is looked up in every partition",
@@ -193,7 +193,7 @@
             "destinations / delivery: processor time",
         ),
         meets(
-            charter,
+            config,
             format!("any daemon's {}", flow(flow_max)),
             to("changes", change, spare / changes())?,
             d,
@@ -201,7 +201,7 @@
             "changes / bytes to each daemon",
         ),
         meets(
-            charter,
+            config,
             format!("the primary's network, {}", flow(given("link"))),
             to("changes", change, up)?,
             d,
@@ -209,7 +209,7 @@
             "changes / bytes to each daemon",
         ),
         meets(
-            charter,
+            config,
             "any daemon's 2.2 % of a core".into(),
             to("changes", "change of 1: an agent, us", given("core") / changes())?,
             d,
@@ -217,7 +217,7 @@
             "changes / an agent",
         ),
         meets(
-            charter,
+            config,
             format!("the log's {}", flow(given("disk"))),
             to("changes", "change of 1: primary's saves, bytes", given("disk") / changes())?,
             d,
@@ -249,7 +249,7 @@
             "destinations / primary: processor time",
         ),
         meets(
-            charter,
+            config,
             format!("the largest charter committed, {}", bytes(given("commit"))),
             to("changes", "charter, bytes", given("commit"))?,
             d,
@@ -379,11 +379,11 @@
 fn today(s: &Slopes) -> Result<String, RecordError> {
     let (all, n) = (given("destinations"), members());
     let (stores, deliveries, proxies) = (given("stores"), given("deliveries"), given("proxies"));
-    let charter = changes() * s.at("changes", "change of 1: bytes to each daemon", all)?;
-    let base = calm(s)? + charter;
+    let config = changes() * s.at("changes", "change of 1: bytes to each daemon", all)?;
+    let base = calm(s)? + config;
     let (kept, ends) = (all / stores, all / deliveries);
     let (store, delivery) = holder_flows(s, all, stores, deliveries)?;
-    let (store, delivery) = (store + charter, delivery + charter);
+    let (store, delivery) = (store + config, delivery + config);
     let known = s.at("destinations", "agent: memory, bytes", all)?;
     let learn = |who: &str| s.at("changes", &format!("change of 1: {who}, us"), all).map(|us| us * changes());
     let pull = s.at("destinations", "primary: one pull with a report, us", all)?;
@@ -467,7 +467,7 @@
         proxies,
         "every route, place and member",
         Some(p),
-        charter + s.at("partitions", "proxy: control, bytes/s", 1.0)?,
+        config + s.at("partitions", "proxy: control, bytes/s", 1.0)?,
         learn("a proxy")?,
     );
     role("agent", proxies, "every route, place and member", None, base, learn("an agent")?);
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -1,7 +1,7 @@
-//! What a hollow fleet is made of: its charter, its members and the hard
+//! What a hollow fleet is made of: its configuration, its members and the hard
 //! state they were taken in by.
 use crate::prelude::*;
-use dw_charter::prelude::Charter;
+use dw_config::prelude::Config;
 use dw_election::prelude::{Configuration, HardState, Snapshot, Voter};
 use dw_placement::prelude::Hard;
 use serde_json::{json, Value};
@@ -16,10 +16,10 @@
     /// Agents without a proxy: daemons that only hear news.
     pub agents: usize,
     pub tenants: usize,
-    /// Waitlists of each tenant that go to workers.
+    /// Queues of each tenant that go to workers.
     pub lists: usize,
     pub parts: u32,
-    /// Outside endpoints, each with a waitlist of its own.
+    /// Outside endpoints, each with a queue of its own.
     pub destinations: usize,
     pub workers: usize,
     pub zones: usize,
@@ -96,7 +96,7 @@
         format!("list-{n:04}")
     }
 
-    pub fn charter(&self) -> Value {
+    pub fn config(&self) -> Value {
         let mut tenants: Vec<Value> =
             (0..self.tenants).map(|n| json!({"name": Shape::tenant(n), "template": "work", "share": 10})).collect();
         let lists: Vec<Value> = (0..self.lists)
@@ -120,17 +120,17 @@
     }
 
     /// As the primary writes it down: in one canonical form.
-    pub fn charter_text(&self) -> String {
-        let read: Result<Charter, _> = serde_json::from_value(self.charter());
+    pub fn config_text(&self) -> String {
+        let read: Result<Config, _> = serde_json::from_value(self.config());
         read.ok().and_then(|c| serde_json::to_string(&c).ok()).unwrap_or_default()
     }
 
     /// The hard state of a fleet that has stood for a while: all members are
-    /// taken in, the charter is in force and write sets are laid out.
+    /// taken in, the configuration is in force and write sets are laid out.
     pub fn hard(&self) -> Hard {
         let first = Version { term: Term(1), count: 1 };
-        let charter = self.charter_text();
-        let rules = dw_charter::check::read(&charter).map(|c| dw_charter::prelude::compile(&c, first)).unwrap_or_default();
+        let config = self.config_text();
+        let rules = dw_config::check::read(&config).map(|c| dw_config::prelude::compile(&c, first)).unwrap_or_default();
         let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
         let mut layout = BTreeMap::new();
         for place in rules.lists.values().flat_map(|r| r.places()) {
@@ -139,8 +139,8 @@
             layout.insert(place, set.collect());
         }
         Hard {
-            charter,
-            charter_version: first,
+            config,
+            config_version: first,
             members: self.members().into_iter().map(|m| (m.id.clone(), m)).collect(),
             members_version: first,
             layout,
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -10,7 +10,7 @@
 fn hand(f: &mut Fleet, n: u64) {
     let ask = ApiRequest::Submit {
         tenant: Shape::tenant(0),
-        waitlist: Shape::list(0),
+        queue: Shape::list(0),
         id: MessageId(format!("event-{n}")),
         key: String::new(),
         callback: String::new(),
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -137,7 +137,8 @@
     pub pull: u64,
     pub lease: u64,
     pub drift_percent: u64,
-    pub charter_lease: u64,
+    #[serde(rename = "charter_lease")]
+    pub config_lease: u64,
     pub election_still: u64,
     pub election_beat: u64,
     pub window: u64,
@@ -157,7 +158,7 @@
             pull: 400,
             lease: 3000,
             drift_percent: 5,
-            charter_lease: 2500,
+            config_lease: 2500,
             election_still: 900,
             election_beat: 200,
             window: 1000,
@@ -234,12 +235,12 @@
         let rules = [
             (self.pull * 3 > self.lease, "times.pull is over a third of times.lease", "pull three times within a lease"),
             (
-                self.pull * 3 > self.charter_lease,
+                self.pull * 3 > self.config_lease,
                 "times.pull is over a third of times.charter_lease",
                 "pull three times within it",
             ),
             (
-                self.charter_lease > 2800,
+                self.config_lease > 2800,
                 "times.charter_lease is over 2800",
                 "keep it at 2800 or less, so that a charter is in force within 3 s",
             ),
--- a/crates/shell/tests/answers.rs
+++ b/crates/shell/tests/answers.rs
@@ -16,7 +16,7 @@
 impl Inbound for Echo {
     fn hear(&self, request: &Request) -> Heard {
         Heard::Ask(match request.uri().path() {
-            "/show" => ApiRequest::CharterShow,
+            "/show" => ApiRequest::ShowConfig,
             "/zone" => ApiRequest::SetZoneEmpty { zone: Zone("z1".into()), empty: true, force: true },
             path => ApiRequest::LookupRouted { name: path.to_string(), with_body: false },
         })
--- a/crates/sim/src/mail.rs
+++ b/crates/sim/src/mail.rs
@@ -1,4 +1,4 @@
-//! Callers of routed messages and the operator of their charters, as small
+//! Callers of routed messages and the operator of their configurations, as small
 //! states moved by the world's events.
 use crate::prelude::*;
 use serde_json::{json, Value};
@@ -38,7 +38,7 @@
     /// No further try after this.
     pub until: Time,
     pub tries: u32,
-    /// Sent straight to this proxy, to see which charter it obeys.
+    /// Sent straight to this proxy, to see which configuration it obeys.
     pub trial: Option<Daemon>,
     /// The sending under way.
     pub post: usize,
@@ -61,13 +61,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// A charter, by its place among those stated.
-    Charter(usize),
+    /// A configuration, by its place among those stated.
+    Config(usize),
     Empty(String),
     Restore(String),
-    /// The charter is read back at the end.
+    /// The configuration is read back at the end.
     Show,
-    /// The charter is read back during the run.
+    /// The configuration is read back during the run.
     Read,
 }
 
@@ -81,8 +81,8 @@
     pub names: BTreeMap<usize, String>,
     /// Probes in a row that each proxy missed.
     pub missed: BTreeMap<Daemon, u32>,
-    /// The charter the operator holds for the newest.
-    pub charter: Value,
+    /// The configuration the operator holds for the newest.
+    pub config: Value,
     pub revision: u64,
     pub acked: u64,
     /// Routes added during the run, by name.
@@ -123,8 +123,8 @@
     route(&format!("extra-{n}"), &format!("/extra/{n}/"), service, 1500 + n, worth, more)
 }
 
-/// The charter of a house that only passes routed messages on.
-pub fn routed_charter(worth: Span) -> Value {
+/// The configuration of a deployment that only passes routed messages on.
+pub fn routed_config(worth: Span) -> Value {
     let services: Vec<Value> = TRADES
         .iter()
         .map(|t| {
--- a/crates/sim/src/world/acts.rs
+++ b/crates/sim/src/world/acts.rs
@@ -238,19 +238,19 @@
                 shares.iter_mut().filter(|s| s.0 == t).for_each(|s| s.1 = n);
                 self.shares = shares.clone();
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
-                self.state_charter("share", &shares, &base);
+                self.send_config("share", &shares, &base);
             }
             Act::Race(a, b) => {
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
                 for n in [a, b] {
                     let mut shares = self.shares.clone();
                     shares[0].1 = n;
-                    self.state_charter("race", &shares, &base);
+                    self.send_config("race", &shares, &base);
                 }
             }
-            Act::BadCharter => {
+            Act::BadConfig => {
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
-                let mut c = charter(&self.shares);
+                let mut c = config(&self.shares);
                 c["tenants"][0]["share"] = json!(0);
                 let charge = ApplyRequest { operation_id: "bad".into(), base, json: c.to_string(), is_patch: false };
                 self.operate(ApiRequest::Apply(charge), "", "charter bad");
@@ -259,7 +259,7 @@
             Act::Mix(n) => self.mix = n,
             Act::Rate(n) => self.rate = n,
             Act::PlanRetire(w) => {
-                let ask = ApiRequest::Plan { charter: None, empty: None, retire: Some(Daemon(w)) };
+                let ask = ApiRequest::Plan { config: None, empty: None, retire: Some(Daemon(w)) };
                 self.operate(ask, "", "plan");
             }
             Act::Retire(w) => self.operate(ApiRequest::RetireStore { store: Daemon(w) }, "", "retire"),
--- a/crates/sim/src/world/calls.rs
+++ b/crates/sim/src/world/calls.rs
@@ -113,7 +113,7 @@
         }
         let receipts = self.check.message(name).map_or(&[][..], |message| &message.receipts);
         let failed = receipts.iter().filter(|receipt| receipt.done.is_some_and(|(_, good)| !good)).count();
-        failed + 1 >= crate::house::ATTEMPTS_AT_SHEETS
+        failed + 1 >= crate::deployment::ATTEMPTS_AT_SHEETS
     }
 
     /// A run is over at its worker.
--- a/crates/sim/src/world/control.rs
+++ b/crates/sim/src/world/control.rs
@@ -1,16 +1,16 @@
 //! The history of operators' orders and answers, for the checker.
 use crate::prelude::*;
 
-/// A charter's text for comparing, without what placement fills in.
-pub(super) fn plain(charter: &Charter) -> String {
-    let bare = Charter { spool: 0, ..charter.clone() };
+/// A configuration's text for comparing, without what placement fills in.
+pub(super) fn plain(config: &Config) -> String {
+    let bare = Config { spool: 0, ..config.clone() };
     serde_json::to_value(&bare).unwrap_or_default().to_string()
 }
 
 /// What an operator's order asks for, in the checker's words.
 pub(super) fn action(what: &What) -> Action {
     match what {
-        What::Charter(order) => Action::Configure(*order),
+        What::Config(order) => Action::Configure(*order),
         What::Empty(zone) => Action::Evacuate { zone: zone.clone(), on: true },
         What::Restore(zone) => Action::Evacuate { zone: zone.clone(), on: false },
         What::Show | What::Read => Action::ReadConfiguration,
@@ -32,8 +32,8 @@
 
 fn configuration(verdict: &ApiResponse) -> Answer {
     let text = verdict.body.as_ref().map(|body| String::from_utf8_lossy(body).to_string()).unwrap_or_default();
-    match dw_charter::check::read(&text) {
-        Ok(charter) => Answer::Configuration { revision: charter.revision, content: plain(&charter) },
+    match dw_config::check::read(&text) {
+        Ok(config) => Answer::Configuration { revision: config.revision, content: plain(&config) },
         Err(error) => Answer::Configuration { revision: u64::MAX, content: error.to_string() },
     }
 }
@@ -43,6 +43,6 @@
     pub(super) fn read_configuration(&mut self) {
         let Some(pace) = self.reads.filter(|_| !self.stopped) else { return };
         self.soon(pace, Ev::Routed(Turn::Read));
-        self.order(ApiRequest::CharterShow, What::Read);
+        self.order(ApiRequest::ShowConfig, What::Read);
     }
 }
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: charters and orders, and what they are told.
+//! Operators: configurations and orders, and what they are told.
 
 use crate::prelude::*;
 use serde_json::{json, Value};
@@ -13,8 +13,8 @@
         }
     }
 
-    pub fn state_charter(&mut self, what: &str, shares: &[(String, u32)], base: &str) {
-        let json = charter(shares).to_string();
+    pub fn send_config(&mut self, what: &str, shares: &[(String, u32)], base: &str) {
+        let json = config(shares).to_string();
         let op = format!("op-{what}-{}", self.next_ask);
         self.operate(
             ApiRequest::Apply(ApplyRequest { operation_id: op, base: base.into(), json: json.clone(), is_patch: false }),
@@ -50,7 +50,7 @@
                 self.check.flag(format!("a charter made from {base} was acknowledged over {:?}", self.acked));
             }
             self.soon(Span::secs(3), Ev::InForce(version.clone()));
-            if let Ok(c) = dw_charter::check::read(json) {
+            if let Ok(c) = dw_config::check::read(json) {
                 let shares = c.tenants.into_iter().map(|t| (t.name, t.share)).collect();
                 self.check.shares(shares, self.now);
             }
@@ -74,7 +74,7 @@
             self.count("shown", 1);
             let shown = j["charter"].clone();
             let Some((version, json)) = self.acked.clone() else { return };
-            let whole = |json: &str| dw_charter::check::read(json).ok().and_then(|c| serde_json::to_value(c).ok());
+            let whole = |json: &str| dw_config::check::read(json).ok().and_then(|c| serde_json::to_value(c).ok());
             let later = self.maybe.iter().any(|m| whole(m).as_ref() == Some(&shown));
             let same = j["version"].as_str() == Some(&version) && whole(&json) == Some(shown);
             if !same && !later {
@@ -95,7 +95,7 @@
         serving == 12
     }
 
-    /// No daemon may now act by an older charter: it holds this one or a
+    /// No daemon may now act by an older configuration: it holds this one or a
     /// later, or says itself that it can't confirm what it holds.
     pub(super) fn in_force(&mut self, version: &str) {
         let read = |v: &str| -> Option<(u64, u64)> {
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -120,7 +120,7 @@
                     self.told(ask, Some(v));
                 }
                 Effect::Call(call_id, call) => self.call(id, call_id, call),
-                Effect::Log(LogEvent::MateMatched, text) => {
+                Effect::Log(LogEvent::BackupChosen, text) => {
                     self.count("mates", 1);
                     self.say(format!("{id} 304 {text}"));
                 }
--- a/crates/sim/src/world/revising.rs
+++ b/crates/sim/src/world/revising.rs
@@ -1,4 +1,4 @@
-//! The operator of routed messages: charters with a number of their own,
+//! The operator of routed messages: configurations with a number of their own,
 //! zones emptied and taken back.
 use super::control::{action, answer, plain};
 use crate::prelude::*;
@@ -9,7 +9,7 @@
 /// Sendings of one order until it is left as it is.
 const SENDINGS: u32 = 60;
 
-fn routes_of(c: &Charter) -> Vec<RouteSeen> {
+fn routes_of(c: &Config) -> Vec<RouteSeen> {
     let one = |r: &Route| RouteSeen {
         name: r.name.clone(),
         prefix: r.prefix.clone(),
@@ -76,15 +76,15 @@
             self.acknowledged();
         }
         match what {
-            What::Charter(c) => {
-                let s = &mut self.seen.charters[c];
+            What::Config(c) => {
+                let s = &mut self.seen.configs[c];
                 match good {
                     true => s.acked = Some(now),
                     false => s.refused = true,
                 }
                 if good {
                     self.count("charters", 1);
-                    self.mail.acked = self.mail.acked.max(self.seen.charters[c].revision);
+                    self.mail.acked = self.mail.acked.max(self.seen.configs[c].revision);
                 }
             }
             What::Empty(z) if good => self.seen.zones.push((z, now, None)),
@@ -93,29 +93,29 @@
         }
     }
 
-    /// The charter, read back, is the newest acknowledged or one that may
+    /// The configuration, read back, is the newest acknowledged or one that may
     /// have come after it, and is what was sent.
     fn shown_back(&mut self, v: ApiResponse) {
         self.mail.read_back = true;
         let text = v.body.as_ref().map(|b| String::from_utf8_lossy(b).to_string()).unwrap_or_default();
-        let Ok(c) = dw_charter::check::read(&text) else {
+        let Ok(c) = dw_config::check::read(&text) else {
             return self.seen.flag("charters: read back, it is no charter".into());
         };
         let newest = self.mail.acked;
         let text = plain(&c);
-        let fits = self.seen.charters.iter().any(|s| s.possible() && s.revision >= newest && s.text == text);
+        let fits = self.seen.configs.iter().any(|s| s.possible() && s.revision >= newest && s.text == text);
         if !fits {
             self.seen
                 .flag(format!("charters: revision {} is read back, {newest} was acknowledged, or it is altered", c.revision));
         }
     }
 
-    /// States a charter, whole or as a patch of the newest.
+    /// States a configuration, whole or as a patch of the newest.
     fn revise(&mut self, base: u64, json: Value, patch: bool, valid: bool) {
         let text = json.to_string();
         let whole = match patch {
-            false => dw_charter::check::read(&text),
-            true => dw_charter::check::read(&self.mail.charter.to_string()).and_then(|c| dw_charter::prelude::patch(&c, &text)),
+            false => dw_config::check::read(&text),
+            true => dw_config::check::read(&self.mail.config.to_string()).and_then(|c| dw_config::prelude::patch(&c, &text)),
         };
         let c = whole.unwrap_or_default();
         let stated = Stated {
@@ -129,11 +129,11 @@
             text: plain(&c),
         };
         self.control.order(ConfigurationOrder { base, revision: c.revision, content: plain(&c), valid });
-        self.seen.charters.push(stated);
+        self.seen.configs.push(stated);
         if valid {
-            self.mail.charter = serde_json::to_value(&c).unwrap_or_default();
+            self.mail.config = serde_json::to_value(&c).unwrap_or_default();
         }
-        self.order(ApiRequest::Revise { base, json: text, is_patch: patch }, What::Charter(self.seen.charters.len() - 1));
+        self.order(ApiRequest::Revise { base, json: text, is_patch: patch }, What::Config(self.seen.configs.len() - 1));
     }
 
     fn next_revision(&mut self) -> u64 {
@@ -141,9 +141,9 @@
         self.mail.revision
     }
 
-    /// The first charter, which precedes the load.
+    /// The first configuration, which precedes the load.
     pub fn state_routes(&mut self) {
-        let mut c = routed_charter(self.mail.routing.worth);
+        let mut c = routed_config(self.mail.routing.worth);
         c["revision"] = json!(self.next_revision());
         for t in TRADES {
             self.seen.services.insert(t.name.to_string(), Pace { rate: t.rate, cold: t.cold_rate });
@@ -151,17 +151,17 @@
         self.revise(0, c, false, true);
     }
 
-    /// Whether no charter is on its way.
+    /// Whether no configuration is on its way.
     fn settled(&self) -> bool {
-        self.mail.orders.iter().all(|o| o.over || !matches!(o.what, What::Charter(_)))
+        self.mail.orders.iter().all(|o| o.over || !matches!(o.what, What::Config(_)))
     }
 
-    /// The charter the operator builds on: the newest acknowledged.
+    /// The configuration the operator builds on: the newest acknowledged.
     fn build_on(&mut self) -> u64 {
         let acked = self.mail.acked;
-        let found = self.seen.charters.iter().find(|s| s.acked.is_some() && s.revision == acked);
+        let found = self.seen.configs.iter().find(|s| s.acked.is_some() && s.revision == acked);
         if let Some(s) = found {
-            self.mail.charter = serde_json::from_str(&s.text).unwrap_or_default();
+            self.mail.config = serde_json::from_str(&s.text).unwrap_or_default();
         }
         self.mail.revision = self.mail.revision.max(acked);
         acked
@@ -178,7 +178,7 @@
         }
         let base = self.build_on();
         let revision = self.next_revision();
-        let mut names: Vec<String> = self.mail.charter["routes"]
+        let mut names: Vec<String> = self.mail.config["routes"]
             .as_array()
             .into_iter()
             .flatten()
@@ -203,7 +203,7 @@
                 json!({"routes": [{"name": name, "remove": true}]})
             }
             _ => {
-                let all = self.mail.charter["routes"].as_array().cloned().unwrap_or_default();
+                let all = self.mail.config["routes"].as_array().cloned().unwrap_or_default();
                 let mut one = all[self.rng.usize(..all.len())].clone();
                 one["attempt_ms"] = json!(1000 + self.rng.u64(..40) * 50 + new);
                 json!({"routes": [one]})
@@ -215,8 +215,8 @@
         match self.rng.bool() {
             true => self.revise(base, part, true, true),
             false => {
-                let whole = dw_charter::check::read(&self.mail.charter.to_string())
-                    .and_then(|c| dw_charter::prelude::patch(&c, &part.to_string()))
+                let whole = dw_config::check::read(&self.mail.config.to_string())
+                    .and_then(|c| dw_config::prelude::patch(&c, &part.to_string()))
                     .unwrap_or_default();
                 self.revise(base, serde_json::to_value(whole).unwrap_or_default(), false, true);
             }
@@ -238,11 +238,11 @@
         let base = self.build_on();
         for _ in 0..2 {
             self.mail.changes += 1;
-            let kept = self.mail.charter.clone();
+            let kept = self.mail.config.clone();
             let part =
                 json!({"revision": self.next_revision(), "routes": [extra_route(self.mail.changes, self.mail.routing.worth)]});
             self.revise(base, part, true, true);
-            self.mail.charter = kept;
+            self.mail.config = kept;
         }
     }
 
@@ -250,7 +250,7 @@
     /// two of them chose the same number for different changes.
     pub(super) fn rivals(&mut self, count: u64) {
         let base = self.build_on();
-        let standing = self.mail.charter.clone();
+        let standing = self.mail.config.clone();
         let mut revision = base;
         for rival in 0..count {
             if rival % 2 == 0 {
@@ -259,14 +259,14 @@
             self.mail.changes += 1;
             let route = extra_route(self.mail.changes, self.mail.routing.worth);
             let part = json!({"revision": revision, "routes": [route]});
-            self.mail.charter = standing.clone();
+            self.mail.config = standing.clone();
             self.revise(base, part, true, true);
         }
-        self.mail.charter = standing;
+        self.mail.config = standing;
     }
 
-    /// Charters that must be refused, one of each kind.
-    pub(super) fn bad_charters(&mut self) {
+    /// Configurations that must be refused, one of each kind.
+    pub(super) fn send_bad_configs(&mut self) {
         if !self.settled() {
             return;
         }
@@ -279,7 +279,7 @@
             |c| c["routes"] = json!("none"),
         ];
         for kind in kinds {
-            let mut c = self.mail.charter.clone();
+            let mut c = self.mail.config.clone();
             c["revision"] = json!(self.mail.revision + 1);
             kind(&mut c);
             self.revise(base, c, false, false);
@@ -300,6 +300,6 @@
     }
 
     pub fn show_routed(&mut self) {
-        self.order(ApiRequest::CharterShow, What::Show);
+        self.order(ApiRequest::ShowConfig, What::Show);
     }
 }
--- a/crates/sim/src/world/routed.rs
+++ b/crates/sim/src/world/routed.rs
@@ -6,7 +6,7 @@
     /// The next message of a flow.
     Flow(usize),
     Try(usize),
-    /// A message sent straight to one proxy, to see its charter.
+    /// A message sent straight to one proxy, to see its configuration.
     Trial {
         path: String,
         zone: u64,
@@ -270,7 +270,7 @@
         self.floor.spells.entry(service.to_string()).or_default()
     }
 
-    /// Acts that mean something else to a house of routed messages; true when
+    /// Acts that mean something else to a deployment of routed messages; true when
     /// this was one.
     pub(super) fn routed_act(&mut self, act: &Act) -> bool {
         let now = self.now;
@@ -297,7 +297,7 @@
                 self.change();
             }
             Act::Twins => self.twins(),
-            Act::BadCharter => self.bad_charters(),
+            Act::BadConfig => self.send_bad_configs(),
             Act::Empty(z) => self.empty_routed(z),
             Act::Restore(z) => self.restore_routed(z),
             Act::List(x) => {
--- a/crates/sim/src/world/sending.rs
+++ b/crates/sim/src/world/sending.rs
@@ -65,10 +65,10 @@
     pub fn hand(&mut self, n: usize) {
         let to = self.proxy();
         let Some(h) = self.hands.get(n).cloned() else { return };
-        let (tenant, waitlist) = h.list.split_once('/').unwrap_or((&h.list, ""));
+        let (tenant, queue) = h.list.split_once('/').unwrap_or((&h.list, ""));
         let ask = ApiRequest::Submit {
             tenant: tenant.into(),
-            waitlist: waitlist.into(),
+            queue: queue.into(),
             id: MessageId(h.id.clone()),
             key: h.key.clone(),
             callback: h.desk.clone(),
@@ -135,14 +135,9 @@
     pub(super) fn look(&mut self, l: Looking) {
         let to = self.proxy();
         let Some(h) = self.hands.get(l.hand).cloned() else { return };
-        let (tenant, waitlist) = h.list.split_once('/').unwrap_or((&h.list, ""));
-        let ask = ApiRequest::Lookup {
-            tenant: tenant.into(),
-            waitlist: waitlist.into(),
-            id: MessageId(h.id),
-            key: h.key,
-            with_body: l.body,
-        };
+        let (tenant, queue) = h.list.split_once('/').unwrap_or((&h.list, ""));
+        let ask =
+            ApiRequest::Lookup { tenant: tenant.into(), queue: queue.into(), id: MessageId(h.id), key: h.key, with_body: l.body };
         if !self.ask(&to, ask, Asked::Look(l.clone())) && l.follow > 0 {
             self.soon(Span::millis(300), Ev::Look(l));
         }
--- a/crates/sim/tests/common/mod.rs
+++ b/crates/sim/tests/common/mod.rs
@@ -33,11 +33,11 @@
     parse(&std::fs::read_to_string(path).unwrap()).unwrap()
 }
 
-/// Alters the charters that daemons hear of.
-pub fn charter_news(effect: &mut Effect, from: &str, to: &str) {
+/// Alters the configurations that daemons hear of.
+pub fn alter_config_updates(effect: &mut Effect, from: &str, to: &str) {
     if let Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) = effect {
         for (_, item) in items {
-            if let Update::Charter(json) = item {
+            if let Update::Config(json) = item {
                 *json = json.replace(from, to);
             }
         }
--- a/crates/sim/tests/routed.rs
+++ b/crates/sim/tests/routed.rs
@@ -2,7 +2,7 @@
 //! catches a deliberate breakage.
 mod common;
 
-use common::{all, charter_news};
+use common::{all, alter_config_updates};
 use dw_sim::prelude::*;
 
 #[test]
@@ -47,7 +47,7 @@
     rng.u8(..n) == 0
 }
 
-/// Daemons hear the charter anew, so that a breakage reaches them.
+/// Daemons hear the configuration anew, so that a breakage reaches them.
 const ANEW: &str = "at 0.5s alloff; at 1s allon";
 
 #[test]
@@ -97,7 +97,7 @@
     // No worker is named or asked who it is, so whoever listens at an address
     // runs the message.
     let b: Breakage = |e, _| {
-        charter_news(e, "\"health\":\"/health\"", "\"health\":\"\"");
+        alter_config_updates(e, "\"health\":\"/health\"", "\"health\":\"\"");
         if let Effect::Call(_, Call { kind: CallKind::RunMessage { worker, .. }, .. }) = e {
             *worker = None;
         }
@@ -109,7 +109,7 @@
 #[test]
 fn overtaking_is_caught() {
     let b: Breakage = |e, _| {
-        charter_news(e, "\"ordered\":true", "\"ordered\":false");
+        alter_config_updates(e, "\"ordered\":true", "\"ordered\":false");
         false
     };
     caught(
@@ -256,7 +256,7 @@
 #[test]
 fn a_rate_not_kept_is_caught() {
     let b: Breakage = |e, _| {
-        charter_news(e, "\"rate\":20.0", "\"rate\":2000.0");
+        alter_config_updates(e, "\"rate\":20.0", "\"rate\":2000.0");
         false
     };
     caught(&format!("run 16s; rate 320; {ANEW}"), b, "rate", "in 5 s");
@@ -266,7 +266,7 @@
 fn a_cold_worker_taken_for_a_warm_one_is_caught() {
     let b: Breakage = |e, _| {
         listed(e, |w| w.cold = Span::ZERO);
-        charter_news(e, "\"cold_rate\":6.0", "\"cold_rate\":600.0");
+        alter_config_updates(e, "\"cold_rate\":6.0", "\"cold_rate\":600.0");
         false
     };
     let text = "run 16s; rate 400; at 5s slow sheets 150ms; at 6s release sheets; at 15s slow sheets 0ms";
@@ -305,11 +305,11 @@
 }
 
 #[test]
-fn a_charter_kept_from_a_daemon_is_caught() {
+fn a_config_kept_from_a_daemon_is_caught() {
     let proxy: Breakage = |e, _| {
         if let Effect::Send(to, PeerMessage::PullResponse { updates: items, .. }) = e {
             if to.as_str() == "proxy-1" {
-                items.retain(|i| i.1.topic() != Topic::Charter);
+                items.retain(|i| i.1.topic() != Topic::Config);
             }
         }
         false
@@ -318,7 +318,7 @@
     let delivery: Breakage = |e, _| {
         if let Effect::Send(to, PeerMessage::PullResponse { updates: items, .. }) = e {
             if to.as_str() == "delivery-1" {
-                items.retain(|i| i.1.topic() != Topic::Charter);
+                items.retain(|i| i.1.topic() != Topic::Config);
             }
         }
         false
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn a_wrong_word_on_a_charter_is_caught() {
+fn a_wrong_word_on_a_config_is_caught() {
     let losing: Breakage = |e, _| {
         if let Effect::Respond(_, v) = e {
             if v.code == 409 {
--- a/crates/wire/src/log_event.rs
+++ b/crates/wire/src/log_event.rs
@@ -43,7 +43,7 @@
     DutyGranted = 208 Info "a duty was granted";
     DaemonJoined = 209 Info "a daemon joined or moved";
     OrderCommitted = 210 Info "an operator's order was committed";
-    CharterRefused = 211 Warn "a charter was refused";
+    ConfigRefused = 211 Warn "a charter was refused";
     DaemonSuspected = 212 Warn "watchers doubt a daemon";
     WorkerListFailed = 213 Warn "the platform's list could not be read; the last one stands";
     WriteSetChanged = 214 Info "a write set was changed";
@@ -55,7 +55,7 @@
     PartitionOpened = 301 Info "a partition is open";
     LowerEpochRefused = 302 Warn "a lower epoch was refused";
     LeaseExpired = 303 Warn "a lease ran out here";
-    MateMatched = 304 Info "another peer takes the second copy";
+    BackupChosen = 304 Info "another peer takes the second copy";
     CopyRepairing = 305 Info "a peer's copy is being made whole";
     CopyRepaired = 306 Info "a peer's copy is whole";
     StateRestored = 307 Info "state read back from the data folder";
@@ -68,10 +68,10 @@
     StrandedMessageRequeued = 314 Error "an open message stood in no line and was not under way; it was let in again";
     TooFewCopies = 315 Warn "a partition has fewer whole copies than wanted";
     CopiesRestored = 316 Info "a partition has as many whole copies as wanted again";
-    CharterHeld = 400 Info "a charter version is in force here";
-    CharterStale = 401 Warn "the newest charter can't be confirmed; no new work";
-    CharterBack = 402 Info "the newest charter is confirmed again";
-    CharterUnread = 403 Error "a charter from the primary could not be read";
+    ConfigInstalled = 400 Info "a charter version is in force here";
+    ConfigStale = 401 Warn "the newest charter can't be confirmed; no new work";
+    ConfigConfirmed = 402 Info "the newest charter is confirmed again";
+    ConfigUnreadable = 403 Error "a charter from the primary could not be read";
     WorkerEjected = 500 Warn "a worker failed too often and is set aside for a while";
     WorkerReadmitted = 501 Info "a worker is used again";
     BreakerOpen = 502 Warn "an endpoint fails; attempts to it pause";
--- a/programs/src/fleet/soak.rs
+++ b/programs/src/fleet/soak.rs
@@ -1,5 +1,5 @@
 //! Troubles for a soak, drawn from a seed: kills, planned ends, pauses, cuts,
-//! lost answers, signals and changes of the charter, two or three of them at a
+//! lost answers, signals and changes of the configuration, two or three of them at a
 //! time; at times one strikes a daemon as soon as the last on it is over. Beside
 //! them the stores lose their disks in turn.
 use crate::fleet::prelude::*;
