--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -133,7 +133,7 @@
         if self.link.rules.routes.is_empty() {
             return None;
         }
-        let shut = self.leaving.is_some() || self.hands.len() >= self.startup.hands_max;
+        let shut = self.leaving.is_some() || self.hands.len() >= self.startup.max_attempts;
         let each = |n: u32| n.div_ceil(leaders.max(1) as u32);
         let mut services: BTreeMap<String, u32> = BTreeMap::new();
         for w in self.workers.values().filter(|w| !shut && self.fit(w, now) && self.may_reach(w, now)) {
@@ -286,7 +286,7 @@
                 if let Some(f) = self.workers.get_mut(w) {
                     let cold = self.link.rules.services.get(&f.info.service).map_or(0.0, |s| s.cold_rate);
                     f.busy += 1;
-                    let rate = cold.max(self.startup.cold_slack * COLD_SLACK_USED).max(COLD_RATE_LEAST);
+                    let rate = cold.max(self.startup.cold_calls_per_second * COLD_SLACK_USED).max(COLD_RATE_LEAST);
                     f.cold_next = now + Span((1e6 / rate) as u64);
                 }
             }
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -6,7 +6,7 @@
 
 impl Delivery {
     pub(super) fn room(&mut self, duty: &Duty, now: Time) -> u32 {
-        if self.leaving.is_some() || self.shedding.contains(duty) || self.hands.len() >= self.startup.hands_max {
+        if self.leaving.is_some() || self.shedding.contains(duty) || self.hands.len() >= self.startup.max_attempts {
             return 0;
         }
         match duty {
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -67,11 +67,11 @@
         let startup = Startup {
             me: member("delivery-1"),
             seeds: vec![daemon("placement-1")],
-            pull: Span::millis(300),
-            terms: Terms::default(),
-            hands_max: 64,
-            cold_slack: 5.0,
-            seed: 1,
+            pull_interval: Span::millis(300),
+            lease_terms: Terms::default(),
+            max_attempts: 64,
+            cold_calls_per_second: 5.0,
+            random_seed: 1,
         };
         let mut deployment = Deployment {
             core: Delivery::new(startup, NOW),
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -26,7 +26,7 @@
     }
 
     fn wall(&self, now: Time) -> u64 {
-        self.startup.wall + now.since(self.startup.now).0
+        self.startup.start_unix_micros + now.since(self.startup.started_at).0
     }
 
     /// A partition for a message that may be kept in any: one whose leader
@@ -76,7 +76,7 @@
             self.counts.refused += 1;
             return self.tell(ask, verdicts::not_taken(code, why, None));
         }
-        if self.carries.len() as u64 >= self.startup.seats {
+        if self.carries.len() as u64 >= self.startup.max_submissions {
             self.counts.refused += 1;
             return self.tell(ask, short("too much is under way here"));
         }
@@ -109,7 +109,7 @@
             delay,
             ..MessageHeader::default()
         };
-        let limit = Span((route.verdict.0 * PATIENCE).max(LEAST.0)).min(self.startup.limit);
+        let limit = Span((route.verdict.0 * PATIENCE).max(LEAST.0)).min(self.startup.response_timeout);
         let carry = Carry {
             ask,
             tenant: String::new(),
@@ -185,7 +185,7 @@
         let Some(part) = part.filter(|p| *p < self.link.rules.spool || self.link.rules.spool == 0) else {
             return self.tell(ask, verdicts::no_such());
         };
-        if self.link.rules.spool == 0 || self.peeks.len() as u64 >= self.startup.seats * 2 {
+        if self.link.rules.spool == 0 || self.peeks.len() as u64 >= self.startup.max_submissions * 2 {
             return self.tell(ask, verdicts::unread());
         }
         let n = self.next;
--- a/crates/ingest/tests/relay.rs
+++ b/crates/ingest/tests/relay.rs
@@ -11,7 +11,7 @@
 /// A proxy of `z1`, with one partition kept by a store of `z2`. By name, the
 /// stores of its own zone and of the leader's come before those of `z3`.
 fn proxy(now: Time) -> Proxy {
-    let mut proxy = Proxy::new(Startup { limit: Span::secs(4), ..startup(now) });
+    let mut proxy = Proxy::new(Startup { response_timeout: Span::secs(4), ..startup(now) });
     let version = Version { term: Term(1), count: 1 };
     let stores =
         [("store-1", "z1"), ("store-2", "z2"), ("store-3", "z1"), ("store-4", "z2"), ("store-5", "z3"), ("store-6", "z3")];
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -21,12 +21,12 @@
     Startup {
         me: member("proxy-1", "z1"),
         agent: Daemon("agent-1".into()),
-        pull: Span::millis(400),
-        terms: Terms::default(),
-        seats: 64,
-        second: SECOND,
-        limit: Span::secs(2),
-        wall: 1,
-        now,
+        pull_interval: Span::millis(400),
+        lease_terms: Terms::default(),
+        max_submissions: 64,
+        resend_after: SECOND,
+        response_timeout: Span::secs(2),
+        start_unix_micros: 1,
+        started_at: now,
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -171,7 +171,15 @@
                 (Box::new(c), e)
             }
             DaemonKind::Delivery => {
-                let s = Carrier { me, seeds, pull, terms, hands_max: b.hands, cold_slack: 2.5, seed };
+                let s = Carrier {
+                    me,
+                    seeds,
+                    pull_interval: pull,
+                    lease_terms: terms,
+                    max_attempts: b.hands,
+                    cold_calls_per_second: 2.5,
+                    random_seed: seed,
+                };
                 (Box::new(Delivery::new(s, self.now)), Vec::new())
             }
             DaemonKind::Agent => (Box::new(Agent::new(me, seeds, pull, terms)), Vec::new()),
@@ -180,13 +188,13 @@
                 let s = Edge {
                     me,
                     agent,
-                    pull: Span::millis(times.pull / 2),
-                    terms,
-                    seats: b.seats,
-                    second: Span::millis(times.second_way),
-                    limit: Span::millis(times.give_up),
-                    wall: WALL + self.now.0,
-                    now: self.now,
+                    pull_interval: Span::millis(times.pull / 2),
+                    lease_terms: terms,
+                    max_submissions: b.seats,
+                    resend_after: Span::millis(times.second_way),
+                    response_timeout: Span::millis(times.give_up),
+                    start_unix_micros: WALL + self.now.0,
+                    started_at: self.now,
                 };
                 (Box::new(Proxy::new(s)), Vec::new())
             }
