--- /dev/null
+++ b/crates/delivery/src/endpoint.rs
@@ -0,0 +1,26 @@
+//! The state of outside endpoints.
+use crate::prelude::*;
+
+/// An outside endpoint that only this daemon sends to, as it holds the endpoint's duty.
+#[derive(Debug)]
+pub struct EndpointState {
+    pub epoch: Epoch,
+    pub allowance: Allowance,
+    pub breaker: Breaker,
+    /// Calls in progress there.
+    pub open_calls: u32,
+    /// Attempts that wait for the endpoint, queued fairly by the tenants' shares.
+    pub waiting: Lanes<AttemptId>,
+}
+
+impl EndpointState {
+    pub fn new(epoch: Epoch, rate: u32, now: Time) -> EndpointState {
+        EndpointState {
+            epoch,
+            allowance: Allowance::new(rate, now),
+            breaker: Breaker::new(5, Span::secs(5)),
+            open_calls: 0,
+            waiting: Lanes::default(),
+        }
+    }
+}
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -1,14 +1,15 @@
-//! The workers: which there are, how fit and how loaded each is, and which one
-//! an attempt goes to.
-use super::Called;
+//! The workers: which exist, the health and load of each, and the choice of the
+//! worker for an attempt.
+use super::OpenCall;
 use crate::prelude::*;
-use crate::worker::WARY;
+use crate::worker::RESTART_REPORT_DELAY;
 
-/// A worker that nothing is asked of is asked for its load this often.
-const LOAD_ASKED: Span = Span::millis(500);
+/// How often an idle worker is asked for its load.
+const LOAD_REQUEST_INTERVAL: Span = Span::millis(500);
 
 impl Delivery {
-    pub(super) fn learn_workers(&mut self, now: Time) {
+    /// Takes over the newest worker list.
+    pub(super) fn update_workers(&mut self, now: Time) {
         if self.link.vector().get(Topic::Workers) == Version::ZERO {
             return;
         }
@@ -18,106 +19,110 @@
             let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_ms));
             let cold = now + w.cold;
             match self.workers.get_mut(&w.id) {
-                // The same name at another address is another worker.
-                Some(f) if f.info.addr == w.addr => {
-                    // Another delivery saw it come up anew.
+                // A worker with the same id at another address is another worker.
+                Some(state) if state.info.addr == w.addr => {
+                    // Another delivery daemon saw the worker restart.
                     let since = Time(now.0.saturating_sub(w.age.0));
-                    if since > f.ramp.since + Span::secs(1) {
-                        f.ramp.since = since;
+                    if since > state.warm_up.since + Span::secs(1) {
+                        state.warm_up.since = since;
                     }
-                    if cold > f.cold_until + Span::millis(500) {
-                        f.cold_until = cold;
+                    if cold > state.cold_until + Span::millis(500) {
+                        state.cold_until = cold;
                     }
-                    f.info = w;
-                    f.ramp.warm = warm;
+                    state.info = w;
+                    state.warm_up.warm = warm;
                 }
                 _ => {
-                    let w = Worker { age: if self.listed.is_some() { Span::ZERO } else { w.age }, ..w };
-                    self.workers.insert(w.id.clone(), Fitness::new(w, warm, now));
+                    let w = Worker { age: if self.first_list_at.is_some() { Span::ZERO } else { w.age }, ..w };
+                    self.workers.insert(w.id.clone(), WorkerState::new(w, warm, now));
                 }
             }
         }
         self.workers.retain(|id, _| names.contains(id));
-        self.listed.get_or_insert(now);
+        self.first_list_at.get_or_insert(now);
     }
 
-    /// New cuts between the slices. A slot at a warming worker that comes over
-    /// from another delivery counts as just used there.
-    pub(super) fn learn_slices(&mut self, grants: &[Grant], now: Time) {
-        let next: BTreeMap<Duty, SlotRange> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slot_range?))).collect();
-        if next == self.slices {
+    /// Takes over newly granted slot ranges. If this daemon gets more slots at a worker
+    /// that is warming up, it counts as just called: the daemon that had the slots before
+    /// may have called it.
+    pub(super) fn update_slot_ranges(&mut self, grants: &[Grant], now: Time) {
+        let granted: BTreeMap<Duty, SlotRange> = grants.iter().filter_map(|g| Some((g.duty.clone(), g.slot_range?))).collect();
+        if granted == self.slot_ranges {
             return;
         }
         let warming: BTreeSet<String> =
-            self.workers.values().filter(|w| w.ramp.warming(now)).map(|w| w.info.service.clone()).collect();
-        let before: BTreeMap<String, Vec<SlotRange>> = warming.into_iter().map(|s| (s.clone(), self.slices_of(&s))).collect();
-        self.slices = next;
-        for (service, was) in before {
-            let (full, new) = (self.full(&service), self.slices_of(&service));
-            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.ramp.warming(now)) {
-                let slots = w.ramp.slots(full, now);
-                let mine = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.turn)).sum::<u32>();
-                if mine(&new) > mine(&was) {
-                    w.ramp.last = now;
+            self.workers.values().filter(|w| w.warm_up.warming(now)).map(|w| w.info.service.clone()).collect();
+        let ranges_before: BTreeMap<String, Vec<SlotRange>> =
+            warming.into_iter().map(|s| (s.clone(), self.slot_ranges_of(&s))).collect();
+        self.slot_ranges = granted;
+        for (service, old_ranges) in ranges_before {
+            let (full, new_ranges) = (self.service_slots(&service), self.slot_ranges_of(&service));
+            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.warm_up.warming(now)) {
+                let slots = w.warm_up.slots(full, now);
+                let mine = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.slot_rounding)).sum::<u32>();
+                if mine(&new_ranges) > mine(&old_ranges) {
+                    w.warm_up.last = now;
                 }
             }
         }
     }
 
-    pub(super) fn peers(&self) -> u32 {
+    /// The number of delivery daemons, at least one.
+    pub(super) fn delivery_count(&self) -> u32 {
         (self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).count() as u32).max(1)
     }
 
-    /// What one worker may run at once, over all deliveries.
-    pub(super) fn full(&self, service: &str) -> u32 {
+    /// How many calls one worker of a service may run at once, over all delivery daemons.
+    pub(super) fn service_slots(&self, service: &str) -> u32 {
         self.link.rules.services.get(service).map_or(4, |s| s.slots)
     }
 
-    /// The slices of a service that this daemon's duties have. Granted by a
-    /// placement daemon that knows none, the duties share evenly.
-    pub(super) fn slices_of(&self, service: &str) -> Vec<SlotRange> {
+    /// The slot ranges of a service that this daemon's duties have. If the placement
+    /// daemon granted no ranges, the delivery daemons share the slots evenly.
+    pub(super) fn slot_ranges_of(&self, service: &str) -> Vec<SlotRange> {
         let takes =
             |p: &PartitionId| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
-        let mine = self.slices.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if takes(p)));
+        let mine = self.slot_ranges.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if takes(p)));
         let all: Vec<SlotRange> = mine.map(|x| *x.1).collect();
-        if !all.is_empty() || !self.slices.is_empty() {
+        if !all.is_empty() || !self.slot_ranges.is_empty() {
             return all;
         }
         let all: Vec<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
-        let at = all.iter().position(|d| **d == self.startup.me.id).unwrap_or(0) as u32;
-        let wide = SlotRange::FULL_WIDTH / self.peers();
-        vec![SlotRange { from: at * wide, to: (at + 1) * wide }]
+        let index = all.iter().position(|d| **d == self.startup.me.id).unwrap_or(0) as u32;
+        let width = SlotRange::FULL_WIDTH / self.delivery_count();
+        vec![SlotRange { from: index * width, to: (index + 1) * width }]
     }
 
-    /// The less loaded of two drawn at random, same zone first where the
-    /// configuration says so. Of two that are alike the one left alone for longer:
-    /// chance alone would now and then give one of them all that comes in a
-    /// second, which a worker that warms up must not get.
-    pub(super) fn match_worker(&mut self, service: &str, slices: &[SlotRange], now: Time) -> Option<WorkerId> {
-        let full = self.full(service);
-        let wary = self.listed.is_none_or(|t| now.since(t) < WARY);
-        let near = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
-        let of: Vec<&Fitness> = self.workers.values().filter(|w| w.info.service == service).collect();
-        let sick = of.iter().filter(|w| w.sick.open(now)).count();
-        // Never more than half set aside for failing: then it is not the workers.
-        let floor = sick * 2 > of.len();
-        let mut fit: Vec<&Fitness> = of
+    /// Draws two workers at random and chooses the less loaded one, from the own zone
+    /// first where the configuration says so. Of two with equal load, the one whose last
+    /// call is longer ago: chance alone would now and then send all calls of one second
+    /// to the same worker, which is too much for one that is warming up.
+    pub(super) fn choose_worker(&mut self, service: &str, ranges: &[SlotRange], now: Time) -> Option<WorkerId> {
+        let full = self.service_slots(service);
+        let list_is_new = self.first_list_at.is_none_or(|t| now.since(t) < RESTART_REPORT_DELAY);
+        let same_zone_first = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
+        let candidates: Vec<&WorkerState> = self.workers.values().filter(|w| w.info.service == service).collect();
+        let failing = candidates.iter().filter(|w| w.failure_breaker.open(now)).count();
+        // If more than half of the workers fail, the cause is probably not the workers,
+        // so none is excluded for failing.
+        let ignore_failures = failing * 2 > candidates.len();
+        let mut fit: Vec<&WorkerState> = candidates
             .into_iter()
-            .filter(|w| w.usable(&self.link, now) && (floor || !w.sick.open(now)))
+            .filter(|w| w.is_usable(&self.link, now) && (ignore_failures || !w.failure_breaker.open(now)))
             .filter(|w| {
-                let slots = w.ramp.slots(full, now);
-                let mine: u32 = slices.iter().map(|s| s.of(slots, w.turn)).sum();
-                if wary || w.may_be_fresh(now) {
-                    let fresh = Ramp { since: now, ..w.ramp };
-                    return w.busy < mine.min(1) && fresh.spaced(slots, mine, now);
+                let slots = w.warm_up.slots(full, now);
+                let mine: u32 = ranges.iter().map(|s| s.of(slots, w.slot_rounding)).sum();
+                if list_is_new || w.may_have_restarted(now) {
+                    let just_started = Ramp { since: now, ..w.warm_up };
+                    return w.open_calls < mine.min(1) && just_started.spaced(slots, mine, now);
                 }
-                w.busy < mine && w.ramp.spaced(slots, mine, now)
+                w.open_calls < mine && w.warm_up.spaced(slots, mine, now)
             })
             .collect();
-        // One that warms up is not preferred: with a backlog it would get all
-        // of it, and its warm peers in other zones next to nothing.
+        // A worker that is warming up is not preferred for its zone: it would get all of
+        // a backlog, and the warm workers in other zones next to nothing.
         let here = &self.startup.me.zone;
-        if near && fit.iter().any(|w| w.info.zone == *here && !w.ramp.warming(now)) {
+        if same_zone_first && fit.iter().any(|w| w.info.zone == *here && !w.warm_up.warming(now)) {
             fit.retain(|w| w.info.zone == *here);
         }
         if fit.is_empty() {
@@ -125,14 +130,14 @@
         }
         let first = self.rng.usize(..fit.len());
         let other = (first + self.rng.usize(1..fit.len().max(2))) % fit.len();
-        let weight = |w: &&Fitness| (w.busy * 2 + w.load, w.busy, w.ramp.last);
+        let weight = |w: &&WorkerState| (w.open_calls * 2 + w.load, w.open_calls, w.warm_up.last);
         let best = [fit[first], fit[other]].into_iter().min_by_key(weight)?;
         Some(best.info.id.clone())
     }
 
-    /// Asks those not heard lately how loaded they are.
-    pub(super) fn ask_loads(&mut self, now: Time) {
-        // Those that only routes lead to tell their load with each answer.
+    /// Asks idle workers without recent contact for their load.
+    pub(super) fn request_loads(&mut self, now: Time) {
+        // Workers that only routes lead to report their load with each answer.
         let asked: BTreeSet<&String> = self
             .link
             .rules
@@ -146,12 +151,17 @@
         let idle: Vec<(WorkerId, String)> = self
             .workers
             .values()
-            .filter(|w| asked.contains(&w.info.service) && !w.asking && now.since(w.seen) > LOAD_ASKED && w.busy == 0)
+            .filter(|w| {
+                asked.contains(&w.info.service)
+                    && !w.load_requested
+                    && now.since(w.last_contact) > LOAD_REQUEST_INTERVAL
+                    && w.open_calls == 0
+            })
             .map(|w| (w.info.id.clone(), w.info.addr.clone()))
             .collect();
         for (worker, addr) in idle {
             if let Some(w) = self.workers.get_mut(&worker) {
-                w.asking = true;
+                w.load_requested = true;
             }
             let call = Call {
                 is_post: false,
@@ -162,48 +172,51 @@
                 timeout: Span::millis(800),
                 kind: CallKind::Plain,
             };
-            self.call(Called::Load { worker }, call);
+            self.start_call(OpenCall::Load { worker }, call);
         }
     }
 
-    pub(super) fn hear_worker(&mut self, id: &WorkerId, reply: &CallResult, load_only: bool, now: Time) {
-        let Some(f) = self.workers.get_mut(id) else { return };
-        match reply {
+    /// Updates a worker's load and breakers after a call for a queue's attempt or a load
+    /// request (`load_only`).
+    pub(super) fn record_worker_result(&mut self, id: &WorkerId, result: &CallResult, load_only: bool, now: Time) {
+        let Some(state) = self.workers.get_mut(id) else { return };
+        match result {
             CallResult::Answered { code, load, draining, .. } => {
                 if load_only {
-                    f.note_silence(now);
+                    state.record_silence(now);
                 }
-                f.answered = now;
-                f.load = load.unwrap_or(f.load);
-                f.draining = *draining;
-                if f.down.pass() {
-                    // Back from the dead: it warms up anew.
-                    f.ramp.since = now;
-                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
+                state.last_answer = now;
+                state.load = load.unwrap_or(state.load);
+                state.draining = *draining;
+                if state.connect_breaker.pass() {
+                    // It was unreachable and may have restarted, so it warms up again.
+                    state.warm_up.since = now;
+                    self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
-                let Some(f) = self.workers.get_mut(id) else { return };
+                let Some(state) = self.workers.get_mut(id) else { return };
                 if *code >= 500 && *code != 503 {
-                    if f.sick.fail(now) {
-                        self.out.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
+                    if state.failure_breaker.fail(now) {
+                        self.effects.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                     }
-                } else if !load_only && f.sick.pass() {
-                    // One that answered all the while, if badly, is no fresh one.
-                    if std::mem::take(&mut f.lost) {
-                        f.ramp.since = now;
+                } else if !load_only && state.failure_breaker.pass() {
+                    // A worker that kept answering, even with errors, did not restart; one
+                    // whose connection broke may have.
+                    if std::mem::take(&mut state.connection_lost) {
+                        state.warm_up.since = now;
                     }
-                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
+                    self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
             CallResult::RunFinished { .. } | CallResult::WorkerList(_) | CallResult::Health { .. } => {}
             CallResult::Failed(SendState::NotSent) => {
-                if f.down.fail(now) {
-                    self.out.push(Effect::Log(LogEvent::WorkerEjected, format!("{id} can't be reached")));
+                if state.connect_breaker.fail(now) {
+                    self.effects.push(Effect::Log(LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
             CallResult::Failed(SendState::MaybeSent) => {
-                f.lost = true;
-                if f.sick.fail(now) {
-                    self.out.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
+                state.connection_lost = true;
+                if state.failure_breaker.fail(now) {
+                    self.effects.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                 }
             }
         }
