--- a/crates/delivery/src/endpoint.rs
+++ b/crates/delivery/src/endpoint.rs
@@ -5,7 +5,7 @@
 #[derive(Debug)]
 pub struct EndpointState {
     pub epoch: Epoch,
-    pub allowance: Allowance,
+    pub rate_limiter: Allowance,
     pub breaker: Breaker,
     /// Calls in progress there.
     pub open_calls: u32,
@@ -17,7 +17,7 @@
     pub fn new(epoch: Epoch, rate: u32, now: Time) -> EndpointState {
         EndpointState {
             epoch,
-            allowance: Allowance::new(rate, now),
+            rate_limiter: Allowance::new(rate, now),
             breaker: Breaker::new(5, Span::secs(5)),
             open_calls: 0,
             waiting: Lanes::default(),
--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -44,7 +44,7 @@
                 }
                 // One second's worth from each store, so that messages of all tenants
                 // wait here and the fair queues can choose among them.
-                slots.min(endpoint.allowance.pace() as u32).max(1)
+                slots.min(endpoint.rate_limiter.pace() as u32).max(1)
             }
         }
     }
--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -18,7 +18,7 @@
 /// An address that is in no worker list. Invariant: `open_calls` counts the calls in
 /// progress there.
 struct AddressState {
-    rate_limit: Option<Allowance>,
+    rate_limiter: Option<Allowance>,
     breaker: Breaker,
     open_calls: u32,
     /// How many requests it runs at once, by its last answer; 0 if unknown.
@@ -29,7 +29,7 @@
 
 impl Default for AddressState {
     fn default() -> AddressState {
-        AddressState { rate_limit: None, breaker: Breaker::new(3, Span::secs(1)), open_calls: 0, slots: 0, full_until: Time(0) }
+        AddressState { rate_limiter: None, breaker: Breaker::new(3, Span::secs(1)), open_calls: 0, slots: 0, full_until: Time(0) }
     }
 }
 
@@ -91,7 +91,7 @@
             self.routed.held_shards.iter().filter(|(d, e)| previous.get(d) != Some(e)).map(|x| x.0).collect();
         for (addr, address) in self.routed.addresses.iter_mut() {
             if new_shards.contains(&Duty::for_unlisted_address(addr)) {
-                address.rate_limit = None;
+                address.rate_limiter = None;
             }
         }
         for w in self.workers.values_mut() {
@@ -251,9 +251,9 @@
         let rate = service.map_or(0.0, |s| s.rate);
         let address = self.routed.addresses.entry(addr.to_string()).or_default();
         if rate > 0.0 {
-            let rate_limit = address.rate_limit.get_or_insert_with(|| Allowance::per(rate, now));
-            rate_limit.set(rate);
-            if rate_limit.room(now) == 0 {
+            let rate_limiter = address.rate_limiter.get_or_insert_with(|| Allowance::per(rate, now));
+            rate_limiter.set(rate);
+            if rate_limiter.room(now) == 0 {
                 return false;
             }
         }
@@ -318,7 +318,7 @@
             SendTarget::Address(a) => {
                 if let Some(s) = self.routed.addresses.get_mut(a) {
                     s.open_calls += 1;
-                    if let Some(p) = s.rate_limit.as_mut() {
+                    if let Some(p) = s.rate_limiter.as_mut() {
                         p.take(now);
                     }
                 }
