--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -7,7 +7,7 @@
 const MARK: Mark = Mark(7);
 
 fn state(term: u64) -> HardState<Order> {
-    HardState { term: Term(term), ..HardState::fresh(MARK) }
+    HardState { term: Term(term), ..HardState::empty(MARK) }
 }
 
 /// What a replica asked to have saved, and what it was told is.
--- a/crates/election/src/configuration.rs
+++ b/crates/election/src/configuration.rs
@@ -6,7 +6,8 @@
 pub struct Voter {
     /// The mark of the data directory that counts. Answers that come from
     /// any other directory under the same name do not count.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub disk_id: Mark,
     /// Where other replicas reach it. Kept here so that a group that restarts
     /// as a whole finds itself again, whatever its seed lists say.
     pub address: String,
@@ -38,7 +39,7 @@
 
 impl Configuration {
     /// A configuration that is not in transition.
-    pub fn of(voters: Voters) -> Configuration {
+    pub fn simple(voters: Voters) -> Configuration {
         Configuration { voters, outgoing: None }
     }
 
@@ -52,24 +53,24 @@
     }
 
     /// Every voter of either set. A name may occur twice, with two marks.
-    pub fn members(&self) -> impl Iterator<Item = (&Daemon, &Voter)> {
+    pub fn all_voters(&self) -> impl Iterator<Item = (&Daemon, &Voter)> {
         self.sets().flatten()
     }
 
     /// The names of all voters of either set.
-    pub fn names(&self) -> BTreeSet<Daemon> {
-        self.members().map(|(daemon, _)| daemon.clone()).collect()
+    pub fn voter_names(&self) -> BTreeSet<Daemon> {
+        self.all_voters().map(|(daemon, _)| daemon.clone()).collect()
     }
 
     /// Whether this replica, with this data directory, is a voter.
-    pub fn is_voter(&self, daemon: &Daemon, mark: Mark) -> bool {
-        self.sets().any(|set| set.get(daemon).is_some_and(|voter| voter.mark == mark))
+    pub fn is_voter(&self, daemon: &Daemon, disk_id: Mark) -> bool {
+        self.sets().any(|set| set.get(daemon).is_some_and(|voter| voter.disk_id == disk_id))
     }
 
     /// Whether those who agree form a quorum of each set.
     pub fn has_quorum(&self, agrees: impl Fn(&Daemon, Mark) -> bool) -> bool {
         let majority = |set: &Voters| {
-            let count = set.iter().filter(|(daemon, voter)| agrees(daemon, voter.mark)).count();
+            let count = set.iter().filter(|(daemon, voter)| agrees(daemon, voter.disk_id)).count();
             count > set.len() / 2
         };
         !self.voters.is_empty() && self.sets().all(majority)
@@ -79,7 +80,7 @@
     /// a quorum has no value at all.
     pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(&Daemon, Mark) -> Option<T>) -> Option<T> {
         let reached = |set: &Voters| {
-            let mut values: Vec<T> = set.iter().filter_map(|(daemon, voter)| value(daemon, voter.mark)).collect();
+            let mut values: Vec<T> = set.iter().filter_map(|(daemon, voter)| value(daemon, voter.disk_id)).collect();
             values.sort_by(|a, b| b.cmp(a));
             values.get(set.len() / 2).copied()
         };
--- a/crates/election/src/earlier_format.rs
+++ b/crates/election/src/earlier_format.rs
@@ -13,8 +13,8 @@
 
 /// A voter whose address is not recorded; its seed list or its own messages
 /// tell where it is.
-fn without_address(mark: Mark) -> Voter {
-    Voter { mark, ..Voter::default() }
+fn without_address(disk_id: Mark) -> Voter {
+    Voter { disk_id, ..Voter::default() }
 }
 
 impl From<StoredConfiguration> for Configuration {
@@ -22,7 +22,7 @@
         match stored {
             StoredConfiguration::Current { voters, outgoing } => Configuration { voters, outgoing },
             StoredConfiguration::Earlier(marks) => {
-                Configuration::of(marks.into_iter().map(|(daemon, mark)| (daemon, without_address(mark))).collect())
+                Configuration::simple(marks.into_iter().map(|(daemon, disk_id)| (daemon, without_address(disk_id))).collect())
             }
         }
     }
@@ -35,8 +35,8 @@
         let mut configuration = self.snapshot.configuration.clone();
         for entry in &mut self.log {
             match &entry.command {
-                Command::Admit(daemon, mark) => {
-                    configuration.voters.insert(daemon.clone(), without_address(*mark));
+                Command::Admit(daemon, disk_id) => {
+                    configuration.voters.insert(daemon.clone(), without_address(*disk_id));
                 }
                 Command::Expel(daemon) => {
                     configuration.voters.remove(daemon);
--- a/crates/election/src/hard_state.rs
+++ b/crates/election/src/hard_state.rs
@@ -46,8 +46,10 @@
 /// never held a state of the group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HardState<C> {
-    pub mark: Mark,
-    pub founded: bool,
+    #[serde(rename = "mark")]
+    pub disk_id: Mark,
+    #[serde(rename = "founded")]
+    pub initialized: bool,
     pub term: Term,
     pub vote: Option<Daemon>,
     #[serde(alias = "base")]
@@ -57,8 +59,8 @@
 
 impl<C> HardState<C> {
     /// The state of an empty data directory.
-    pub fn fresh(mark: Mark) -> HardState<C> {
-        HardState { mark, founded: false, term: Term(0), vote: None, snapshot: Snapshot::default(), log: Vec::new() }
+    pub fn empty(disk_id: Mark) -> HardState<C> {
+        HardState { disk_id, initialized: false, term: Term(0), vote: None, snapshot: Snapshot::default(), log: Vec::new() }
     }
     /// The index of the last entry.
     pub fn last_index(&self) -> u64 {
@@ -98,12 +100,12 @@
     /// it are kept where the log agrees with it: they may have been
     /// acknowledged, and the leader may already count on them.
     pub fn install(&mut self, snapshot: Snapshot) {
-        let agrees = self.founded && self.term_at(snapshot.index) == Some(snapshot.term);
+        let agrees = self.initialized && self.term_at(snapshot.index) == Some(snapshot.term);
         match agrees {
             true => drop(self.log.drain(..(snapshot.index - self.snapshot.index) as usize)),
             false => self.log.clear(),
         }
         self.snapshot = snapshot;
-        self.founded = true;
+        self.initialized = true;
     }
 }
--- a/crates/election/src/membership_policy.rs
+++ b/crates/election/src/membership_policy.rs
@@ -95,7 +95,7 @@
     fn renew_wiped(&mut self) {
         for (daemon, voter) in &mut self.voters {
             let Some(peer) = self.peers.get(daemon) else { continue };
-            if peer.eligible && peer.voter.mark != voter.mark {
+            if peer.eligible && peer.voter.disk_id != voter.disk_id {
                 *voter = peer.voter.clone();
             }
         }
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -10,16 +10,21 @@
     /// For a replica that lacks what the log no longer holds.
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry<C>>,
-    pub commit: u64,
+    #[serde(rename = "commit")]
+    pub commit_index: u64,
     /// The leader's clock; echoed, it extends the leader's lease.
-    pub sent: Time,
+    #[serde(rename = "sent")]
+    pub sent_at: Time,
 }
 
 /// What became of an [`AppendRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
     /// The log agrees with the leader's up to `matched`, durably.
-    Accepted { matched: u64 },
+    Accepted {
+        #[serde(rename = "matched")]
+        match_index: u64,
+    },
     /// The log does not agree; try from behind `hint`.
     Mismatch { hint: u64 },
     /// An empty data directory: it needs the snapshot first.
@@ -37,7 +42,8 @@
     /// answered itself.
     Bootstrap {
         voter: Voter,
-        reply: bool,
+        #[serde(rename = "reply")]
+        is_reply: bool,
     },
     VoteRequest {
         pre_vote: bool,
@@ -49,14 +55,17 @@
         pre_vote: bool,
         term: Term,
         granted: bool,
-        mark: Mark,
+        #[serde(rename = "mark")]
+        disk_id: Mark,
     },
     Append(AppendRequest<C>),
     AppendResponse {
         term: Term,
         outcome: AppendOutcome,
-        mark: Mark,
-        sent: Time,
+        #[serde(rename = "mark")]
+        disk_id: Mark,
+        #[serde(rename = "sent")]
+        sent_at: Time,
     },
     /// The leader of this term leaves: whoever hears this may campaign at
     /// once and is voted for though the leader was heard a moment ago.
@@ -74,11 +83,13 @@
     },
     /// "I am about to stop": a voter asks to be replaced first.
     Leave {
-        mark: Mark,
+        #[serde(rename = "mark")]
+        disk_id: Mark,
     },
     /// The leader's answer: nothing more is gained by waiting.
     LeaveAccepted {
-        mark: Mark,
+        #[serde(rename = "mark")]
+        disk_id: Mark,
     },
 }
 
@@ -94,9 +105,9 @@
     /// Replace the applied state by this snapshot.
     InstallSnapshot(Snapshot),
     /// The configuration in force changed; addresses may be new.
-    Reconfigured(Configuration),
+    ConfigurationChanged(Configuration),
     /// Where a replica that announced itself is reached.
-    Learn(Daemon, String),
+    SetPeerAddress(Daemon, String),
     BecameLeader(Term),
     LostLeadership,
 }
--- a/crates/election/src/progress.rs
+++ b/crates/election/src/progress.rs
@@ -7,9 +7,9 @@
     /// The next entry to send.
     pub next: u64,
     /// The last entry known to be durable there and equal to ours.
-    pub matched: u64,
+    pub match_index: u64,
     /// The data directory that `matched` speaks of.
-    pub mark: Mark,
+    pub disk_id: Mark,
     /// The latest request, by our clock when it was sent, that was answered.
     pub heard: Time,
     /// It asked for the snapshot, or what it lacks is no longer in the log.
@@ -31,8 +31,8 @@
     pub fn new(next: u64, now: Time) -> Progress {
         Progress {
             next,
-            matched: 0,
-            mark: Mark(0),
+            match_index: 0,
+            disk_id: Mark(0),
             heard: Time(0),
             needs_snapshot: false,
             replicating: false,
@@ -50,18 +50,18 @@
 
     /// Takes the mark and time of an answer; says whether the answer counts.
     /// A late answer of an earlier data directory is dropped.
-    pub fn observe(&mut self, mark: Mark, sent: Time) -> bool {
-        if self.mark != mark {
-            if self.mark != Mark(0) && sent <= self.heard {
+    pub fn observe(&mut self, disk_id: Mark, sent_at: Time) -> bool {
+        if self.disk_id != disk_id {
+            if self.disk_id != Mark(0) && sent_at <= self.heard {
                 return false;
             }
             // What the earlier directory held is gone.
-            self.mark = mark;
-            self.matched = 0;
+            self.disk_id = disk_id;
+            self.match_index = 0;
             self.left = None;
         }
-        self.heard = self.heard.max(sent);
-        self.in_flight = self.in_flight.filter(|begun| sent < *begun);
+        self.heard = self.heard.max(sent_at);
+        self.in_flight = self.in_flight.filter(|begun| sent_at < *begun);
         true
     }
 
@@ -69,18 +69,18 @@
     pub fn advance(&mut self, outcome: AppendOutcome, last_index: u64) {
         self.replicating = true;
         match outcome {
-            AppendOutcome::Accepted { matched } => {
-                self.matched = self.matched.max(matched);
-                self.next = self.matched.min(last_index) + 1;
+            AppendOutcome::Accepted { match_index } => {
+                self.match_index = self.match_index.max(match_index);
+                self.next = self.match_index.min(last_index) + 1;
                 self.needs_snapshot = false;
             }
             AppendOutcome::Mismatch { hint } => {
                 self.next = hint.min(last_index) + 1;
-                self.matched = self.matched.min(hint);
+                self.match_index = self.match_index.min(hint);
             }
             AppendOutcome::NeedsSnapshot => {
                 self.needs_snapshot = true;
-                self.matched = 0;
+                self.match_index = 0;
             }
             AppendOutcome::StaleTerm => {}
         }
--- a/crates/election/src/replica.rs
+++ b/crates/election/src/replica.rs
@@ -71,7 +71,7 @@
     configuration_index: u64,
     role: Role,
     leader: Option<Daemon>,
-    commit: u64,
+    commit_index: u64,
     applied: u64,
     /// When a leader of the current term was last heard.
     heard: Time,
@@ -110,7 +110,7 @@
         let state = state.upgraded();
         let (configuration_index, configuration) = state.configuration_at(state.last_index());
         let (configuration, snapshot_index, durable) = (configuration.clone(), state.snapshot.index, state.last_index());
-        let founding = !state.founded && settings.bootstrap && settings.seeds.contains(&settings.id);
+        let founding = !state.initialized && settings.bootstrap && settings.seeds.contains(&settings.id);
         let mut replica = Replica {
             random: fastrand::Rng::with_seed(settings.random_seed),
             settings,
@@ -119,7 +119,7 @@
             configuration_index,
             role: Role::Bootstrapping,
             leader: None,
-            commit: snapshot_index,
+            commit_index: snapshot_index,
             applied: snapshot_index,
             heard: now,
             election_due: now,
@@ -155,8 +155,8 @@
     pub fn term(&self) -> Term {
         self.state.term
     }
-    pub fn commit(&self) -> u64 {
-        self.commit
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
     }
     /// The configuration in force here: the latest in the log.
     pub fn configuration(&self) -> &Configuration {
@@ -180,10 +180,10 @@
         &self.settings.id
     }
     fn is_voter(&self) -> bool {
-        self.configuration.is_voter(&self.settings.id, self.state.mark)
+        self.configuration.is_voter(&self.settings.id, self.state.disk_id)
     }
     fn as_voter(&self) -> Voter {
-        Voter { mark: self.state.mark, address: self.settings.address.clone(), zone: self.settings.zone.clone() }
+        Voter { disk_id: self.state.disk_id, address: self.settings.address.clone(), zone: self.settings.zone.clone() }
     }
     fn random_election_timeout(&mut self) -> Span {
         let timeout = self.settings.timing.election_timeout.0;
@@ -241,7 +241,7 @@
         self.configuration_index = index;
         if *configuration != self.configuration {
             self.configuration = configuration.clone();
-            self.actions.push(Action::Reconfigured(self.configuration.clone()));
+            self.actions.push(Action::ConfigurationChanged(self.configuration.clone()));
         }
     }
 
@@ -283,7 +283,7 @@
 
     /// Appends a command of the state machine above.
     pub fn propose(&mut self, command: C, now: Time) -> Result<(u64, Term, Vec<Action<C>>), NotLeader> {
-        if !self.may_act(now) {
+        if !self.is_active_leader(now) {
             return Err(NotLeader);
         }
         self.append_entry(Command::Apply(command));
@@ -325,22 +325,22 @@
             return Vec::new();
         }
         match message {
-            Message::Bootstrap { voter, reply } => self.on_bootstrap(from, voter, reply, now),
+            Message::Bootstrap { voter, is_reply } => self.on_bootstrap(from, voter, is_reply, now),
             Message::VoteRequest { pre_vote, term, last_index, last_term } => {
                 self.on_vote_request(from, pre_vote, term, (last_term, last_index), now);
             }
-            Message::VoteResponse { pre_vote, term, granted, mark } => {
-                self.on_vote_response(from, pre_vote, term, granted, mark, now);
+            Message::VoteResponse { pre_vote, term, granted, disk_id } => {
+                self.on_vote_response(from, pre_vote, term, granted, disk_id, now);
             }
             Message::Append(request) => self.on_append(from, request, now),
-            Message::AppendResponse { term, outcome, mark, sent } => {
-                self.on_append_response(from, term, outcome, mark, sent, now);
+            Message::AppendResponse { term, outcome, disk_id, sent_at } => {
+                self.on_append_response(from, term, outcome, disk_id, sent_at, now);
             }
             Message::TransferLeadership { term } => self.on_transfer_leadership(&from, term, now),
             Message::Join { voter } => self.on_join(from, voter, now),
             Message::Redirect { leader, address } => self.on_redirect(leader, address),
-            Message::Leave { mark } => self.on_leave(from, mark, now),
-            Message::LeaveAccepted { mark } => self.leave_accepted |= mark == self.state.mark,
+            Message::Leave { disk_id } => self.on_leave(from, disk_id, now),
+            Message::LeaveAccepted { disk_id } => self.leave_accepted |= disk_id == self.state.disk_id,
         }
         self.finish()
     }
--- a/crates/election/src/replica/bootstrapping.rs
+++ b/crates/election/src/replica/bootstrapping.rs
@@ -13,7 +13,7 @@
         }
         for daemon in others {
             let voter = self.as_voter();
-            self.send(daemon, Message::Bootstrap { voter, reply: false });
+            self.send(daemon, Message::Bootstrap { voter, is_reply: false });
         }
     }
 
@@ -21,13 +21,13 @@
         self.settings.seeds.iter().filter(|daemon| **daemon != self.settings.id)
     }
 
-    pub(super) fn on_bootstrap(&mut self, from: Daemon, voter: Voter, reply: bool, now: Time) {
+    pub(super) fn on_bootstrap(&mut self, from: Daemon, voter: Voter, is_reply: bool, now: Time) {
         if self.role != Role::Bootstrapping {
             // A founder that missed our message while we founded is told again.
-            let founded_together = self.state.founded && self.configuration.is_voter(&from, voter.mark);
-            if !reply && founded_together {
+            let founded_together = self.state.initialized && self.configuration.is_voter(&from, voter.disk_id);
+            if !is_reply && founded_together {
                 let voter = self.as_voter();
-                self.send(from, Message::Bootstrap { voter, reply: true });
+                self.send(from, Message::Bootstrap { voter, is_reply: true });
             }
             return;
         }
@@ -43,8 +43,8 @@
     fn found(&mut self, now: Time) {
         let mut voters = std::mem::take(&mut self.founders);
         voters.insert(self.me().clone(), self.as_voter());
-        self.state.snapshot.configuration = Configuration::of(voters);
-        self.state.founded = true;
+        self.state.snapshot.configuration = Configuration::simple(voters);
+        self.state.initialized = true;
         self.dirty = true;
         self.refresh_configuration();
         self.become_role(Role::Follower, now);
--- a/crates/election/src/replica/following.rs
+++ b/crates/election/src/replica/following.rs
@@ -3,10 +3,10 @@
 
 impl<C: Clone + PartialEq> Replica<C> {
     pub(super) fn on_append(&mut self, from: Daemon, request: AppendRequest<C>, now: Time) {
-        let sent = request.sent;
+        let sent_at = request.sent_at;
         let outcome = self.take_append(&from, request, now);
-        let (term, mark) = (self.state.term, self.state.mark);
-        self.send(from, Message::AppendResponse { term, outcome, mark, sent });
+        let (term, disk_id) = (self.state.term, self.state.disk_id);
+        self.send(from, Message::AppendResponse { term, outcome, disk_id, sent_at });
     }
 
     fn take_append(&mut self, from: &Daemon, request: AppendRequest<C>, now: Time) -> AppendOutcome {
@@ -14,24 +14,24 @@
             return AppendOutcome::StaleTerm;
         }
         self.follow(from, request.term, now);
-        let AppendRequest { previous_index, previous_term, snapshot, entries, commit, .. } = request;
+        let AppendRequest { previous_index, previous_term, snapshot, entries, commit_index, .. } = request;
         if let Some(snapshot) = snapshot {
             self.take_snapshot(snapshot);
         }
-        if !self.state.founded {
+        if !self.state.initialized {
             return AppendOutcome::NeedsSnapshot;
         }
         let covered = previous_index < self.state.snapshot.index;
         if !covered && self.state.term_at(previous_index) != Some(previous_term) {
-            let hint = self.commit.min(previous_index.saturating_sub(1));
+            let hint = self.commit_index.min(previous_index.saturating_sub(1));
             return AppendOutcome::Mismatch { hint };
         }
-        let matched = previous_index + entries.len() as u64;
+        let match_index = previous_index + entries.len() as u64;
         self.take_entries(previous_index, entries);
-        self.advance_applied(commit.min(matched));
+        self.advance_applied(commit_index.min(match_index));
         self.rest(now);
         // Entries that the snapshot covers agree with every leader's.
-        AppendOutcome::Accepted { matched: matched.max(self.state.snapshot.index) }
+        AppendOutcome::Accepted { match_index: match_index.max(self.state.snapshot.index) }
     }
 
     fn follow(&mut self, leader: &Daemon, term: Term, now: Time) {
@@ -44,11 +44,11 @@
     }
 
     fn take_snapshot(&mut self, snapshot: Snapshot) {
-        if self.state.founded && snapshot.index <= self.applied {
+        if self.state.initialized && snapshot.index <= self.applied {
             return;
         }
         self.applied = snapshot.index;
-        self.commit = self.commit.max(snapshot.index);
+        self.commit_index = self.commit_index.max(snapshot.index);
         self.state.install(snapshot);
         self.dirty = true;
         self.actions.push(Action::InstallSnapshot(self.state.snapshot.clone()));
@@ -73,9 +73,9 @@
     }
 
     /// Raises the commit index and applies what it covers.
-    pub(super) fn advance_applied(&mut self, commit: u64) {
-        self.commit = self.commit.max(commit);
-        while self.applied < self.commit {
+    pub(super) fn advance_applied(&mut self, commit_index: u64) {
+        self.commit_index = self.commit_index.max(commit_index);
+        while self.applied < self.commit_index {
             let Some(entry) = self.state.entry(self.applied + 1) else { return };
             self.applied += 1;
             if let Command::Apply(command) = &entry.command {
--- a/crates/election/src/replica/leading.rs
+++ b/crates/election/src/replica/leading.rs
@@ -15,7 +15,7 @@
     /// Keeps a progress for every other voter.
     pub(super) fn follow_voters(&mut self, now: Time) {
         let next = self.state.last_index() + 1;
-        for daemon in self.configuration.names() {
+        for daemon in self.configuration.voter_names() {
             if daemon != self.settings.id {
                 self.progress.entry(daemon).or_insert_with(|| Progress::new(next, now));
             }
@@ -24,7 +24,7 @@
 
     /// Whether the leader may act now: an entry of its term is committed and
     /// its lease, counted from when heartbeats were sent, still runs.
-    pub fn may_act(&self, now: Time) -> bool {
+    pub fn is_active_leader(&self, now: Time) -> bool {
         self.role == Role::Leader
             && self.transferred != Some(self.state.term)
             && self.state.term_at(self.applied) == Some(self.state.term)
@@ -33,11 +33,11 @@
 
     /// When the lease that a quorum's answers give ends; `None` without one.
     pub(super) fn lease_end(&self) -> Option<Time> {
-        let answered = |daemon: &Daemon, mark: Mark| {
+        let answered = |daemon: &Daemon, disk_id: Mark| {
             if *daemon == self.settings.id {
-                return (mark == self.state.mark).then_some(Time(u64::MAX));
+                return (disk_id == self.state.disk_id).then_some(Time(u64::MAX));
             }
-            let progress = self.progress.get(daemon).filter(|p| p.mark == mark && p.heard > Time(0))?;
+            let progress = self.progress.get(daemon).filter(|p| p.disk_id == disk_id && p.heard > Time(0))?;
             Some(progress.heard + self.settings.timing.leader_lease())
         };
         self.configuration.quorum_value(answered)
@@ -72,7 +72,7 @@
             self.heartbeats += 1;
             self.heartbeat_due = now + self.settings.timing.heartbeat;
         }
-        let voters = self.configuration.names();
+        let voters = self.configuration.voter_names();
         let learners_too = self.heartbeats.is_multiple_of(HEARTBEATS_PER_LEARNER);
         let targets: Vec<Daemon> =
             self.progress.keys().filter(|daemon| learners_too || voters.contains(*daemon)).cloned().collect();
@@ -107,8 +107,8 @@
             previous_term: self.state.term_at(previous_index).unwrap_or_default(),
             snapshot: with_snapshot.then(|| self.state.snapshot.clone()),
             entries: entries.take(ENTRIES_PER_REQUEST).collect(),
-            commit: self.commit,
-            sent: now,
+            commit_index: self.commit_index,
+            sent_at: now,
         };
         self.send(daemon.clone(), Message::Append(request));
     }
@@ -119,12 +119,12 @@
     /// would be more than the leader's memory. So a learner gets nothing again
     /// before it had time to answer, and few get something at one time.
     fn may_carry(&self, daemon: &Daemon, now: Time) -> bool {
-        if self.configuration.names().contains(daemon) {
+        if self.configuration.voter_names().contains(daemon) {
             return true;
         }
         let is_busy = |progress: &Progress| progress.in_flight.is_some_and(|begun| self.may_yet_answer(begun, now));
         let busy = |name: &Daemon| self.progress.get(name).is_some_and(is_busy);
-        let voters = self.configuration.names();
+        let voters = self.configuration.voter_names();
         let busy_learners = self.progress.keys().filter(|name| !voters.contains(*name) && busy(name)).count();
         !busy(daemon) && busy_learners < LEARNERS_AT_ONCE
     }
@@ -136,7 +136,7 @@
     /// A learner has answered: another one that lacks something gets it.
     fn feed_learners(&mut self, now: Time) {
         let last_index = self.state.last_index();
-        let voters = self.configuration.names();
+        let voters = self.configuration.voter_names();
         let lacks = |progress: &Progress| progress.replicating && (progress.needs_snapshot || progress.next <= last_index);
         let lacking = self.progress.iter().filter(|(name, progress)| !voters.contains(*name) && lacks(progress));
         for learner in lacking.map(|(name, _)| name.clone()).collect::<Vec<_>>() {
@@ -151,26 +151,26 @@
         from: Daemon,
         term: Term,
         outcome: AppendOutcome,
-        mark: Mark,
-        sent: Time,
+        disk_id: Mark,
+        sent_at: Time,
         now: Time,
     ) {
         if term > self.state.term {
             return self.adopt_term(term, now);
         }
-        if self.role != Role::Leader || term < self.state.term || sent > now {
+        if self.role != Role::Leader || term < self.state.term || sent_at > now {
             return;
         }
         let last_index = self.state.last_index();
         let Some(progress) = self.progress.get_mut(&from) else { return };
         let was_replicating = progress.replicating;
-        if !progress.observe(mark, sent) {
+        if !progress.observe(disk_id, sent_at) {
             return;
         }
         progress.advance(outcome, last_index);
         let lacks = progress.needs_snapshot || progress.next <= last_index;
         let rejected = !matches!(outcome, AppendOutcome::Accepted { .. });
-        let learner = !self.configuration.is_voter(&from, mark);
+        let learner = !self.configuration.is_voter(&from, disk_id);
         self.advance_commit(now);
         if learner {
             return self.feed_learners(now);
@@ -182,14 +182,14 @@
 
     /// Commits what a quorum holds durably, in the current term only.
     pub(super) fn advance_commit(&mut self, now: Time) {
-        let held = |daemon: &Daemon, mark: Mark| {
+        let held = |daemon: &Daemon, disk_id: Mark| {
             if *daemon == self.settings.id {
-                return (mark == self.state.mark).then_some(self.durable);
+                return (disk_id == self.state.disk_id).then_some(self.durable);
             }
-            self.progress.get(daemon).filter(|p| p.mark == mark).map(|p| p.matched)
+            self.progress.get(daemon).filter(|p| p.disk_id == disk_id).map(|p| p.match_index)
         };
         let Some(index) = self.configuration.quorum_value(held) else { return };
-        if index > self.commit && self.state.term_at(index) == Some(self.state.term) {
+        if index > self.commit_index && self.state.term_at(index) == Some(self.state.term) {
             self.advance_applied(index);
             self.complete_membership_change(now);
         }
@@ -210,9 +210,9 @@
         self.replicate(now);
         self.transferred = Some(term);
         self.heartbeat_due = now + self.settings.timing.heartbeat;
-        let is_voter = |daemon: &Daemon, progress: &Progress| self.configuration.is_voter(daemon, progress.mark);
+        let is_voter = |daemon: &Daemon, progress: &Progress| self.configuration.is_voter(daemon, progress.disk_id);
         let mut voters: Vec<(u64, Daemon)> =
-            self.progress.iter().filter(|(d, p)| is_voter(d, p)).map(|(d, p)| (p.matched, d.clone())).collect();
+            self.progress.iter().filter(|(d, p)| is_voter(d, p)).map(|(d, p)| (p.match_index, d.clone())).collect();
         // The first told asks first.
         voters.sort_by(|a, b| b.cmp(a));
         for (_, daemon) in voters {
--- a/crates/election/src/replica/membership.rs
+++ b/crates/election/src/replica/membership.rs
@@ -5,7 +5,7 @@
 
 impl<C: Clone + PartialEq> Replica<C> {
     /// Hosts that will be taken away: the leader moves votes off them.
-    pub fn set_unwanted_hosts(&mut self, hosts: BTreeSet<String>) {
+    pub fn set_excluded_hosts(&mut self, hosts: BTreeSet<String>) {
         self.unwanted_hosts = hosts;
     }
 
@@ -24,9 +24,9 @@
 
     /// Whether stopping now costs the group nothing that waiting would save:
     /// other replicas hold its vote, or nobody can.
-    pub fn may_stop(&self, now: Time) -> bool {
+    pub fn can_stop(&self, now: Time) -> bool {
         let Some(since) = self.leaving else { return false };
-        let replaced = !self.is_voter() && self.configuration_index <= self.commit;
+        let replaced = !self.is_voter() && self.configuration_index <= self.commit_index;
         let free = replaced || self.leave_accepted || self.role == Role::Bootstrapping;
         let waited = now.since(since) >= LEAVE_WITHIN;
         waited || (free && self.role != Role::Leader)
@@ -40,8 +40,8 @@
         self.join_due = now + self.settings.timing.heartbeat.times(HEARTBEATS_PER_JOIN);
         match (self.leader(now).cloned(), self.leaving) {
             (Some(leader), Some(_)) => {
-                let mark = self.state.mark;
-                self.send(leader, Message::Leave { mark });
+                let disk_id = self.state.disk_id;
+                self.send(leader, Message::Leave { disk_id });
             }
             (Some(_), None) => {}
             (None, _) => self.announce_to_all(),
@@ -49,7 +49,7 @@
     }
 
     fn announce_to_all(&mut self) {
-        let mut contacts = self.configuration.names();
+        let mut contacts = self.configuration.voter_names();
         contacts.extend(self.settings.seeds.iter().cloned());
         contacts.remove(&self.settings.id);
         for daemon in contacts {
@@ -67,7 +67,7 @@
             }
             return;
         }
-        self.actions.push(Action::Learn(from.clone(), voter.address.clone()));
+        self.actions.push(Action::SetPeerAddress(from.clone(), voter.address.clone()));
         let next = self.state.last_index() + 1;
         let progress = self.progress.entry(from.clone()).or_insert_with(|| Progress::new(next, now));
         progress.announced = Some(voter);
@@ -76,7 +76,7 @@
     }
 
     fn address_of(&self, daemon: &Daemon) -> String {
-        let known = self.configuration.members().find(|(name, _)| *name == daemon);
+        let known = self.configuration.all_voters().find(|(name, _)| *name == daemon);
         known.map(|(_, voter)| voter.address.clone()).unwrap_or_default()
     }
 
@@ -84,42 +84,42 @@
         if leader == self.settings.id || self.role == Role::Leader {
             return;
         }
-        self.actions.push(Action::Learn(leader.clone(), address));
+        self.actions.push(Action::SetPeerAddress(leader.clone(), address));
         let voter = self.as_voter();
         self.send(leader, Message::Join { voter });
     }
 
-    pub(super) fn on_leave(&mut self, from: Daemon, mark: Mark, now: Time) {
+    pub(super) fn on_leave(&mut self, from: Daemon, disk_id: Mark, now: Time) {
         if self.role != Role::Leader {
             return;
         }
-        if let Some(progress) = self.progress.get_mut(&from).filter(|p| p.mark == mark) {
+        if let Some(progress) = self.progress.get_mut(&from).filter(|p| p.disk_id == disk_id) {
             progress.left = Some(now);
         }
         self.change_membership(now);
         // A change under way may be the one that replaces it, and a spare that
         // lags a little will take its place in a moment.
-        let replaced = !self.configuration.is_voter(&from, mark);
-        if self.membership_settled() && (replaced || !self.has_spare(now)) {
-            self.send(from, Message::LeaveAccepted { mark });
+        let replaced = !self.configuration.is_voter(&from, disk_id);
+        if self.is_membership_stable() && (replaced || !self.has_spare(now)) {
+            self.send(from, Message::LeaveAccepted { disk_id });
         }
     }
 
     /// Whether the latest configuration is committed and no change under way.
-    pub fn membership_settled(&self) -> bool {
-        !self.configuration.is_joint() && self.configuration_index <= self.commit
+    pub fn is_membership_stable(&self) -> bool {
+        !self.configuration.is_joint() && self.configuration_index <= self.commit_index
     }
 
     /// Learners that are gone are followed no more.
     pub(super) fn forget_learners(&mut self, now: Time) {
-        let voters = self.configuration.names();
+        let voters = self.configuration.voter_names();
         self.progress.retain(|daemon, progress| voters.contains(daemon) || progress.silent_for(now) < LEARNER_FORGOTTEN_AFTER);
     }
 
     /// Proposes the next configuration, when the policy wants another and the
     /// latest one is committed.
     pub(super) fn change_membership(&mut self, now: Time) {
-        if !self.membership_settled() || !self.may_act(now) {
+        if !self.is_membership_stable() || !self.is_active_leader(now) {
             return;
         }
         let peers = self.peers(now);
@@ -133,13 +133,13 @@
     /// Ends a change once its joint configuration is committed. A leader that
     /// is no voter any more steps down when the end, too, is committed.
     pub(super) fn complete_membership_change(&mut self, now: Time) {
-        if self.role != Role::Leader || self.configuration_index > self.commit {
+        if self.role != Role::Leader || self.configuration_index > self.commit_index {
             return;
         }
         if self.configuration.is_joint() {
             self.keep_as_spares();
             let voters = self.configuration.voters.clone();
-            self.append_entry(Command::Configure(Configuration::of(voters)));
+            self.append_entry(Command::Configure(Configuration::simple(voters)));
             self.replicate(now);
         } else if !self.is_voter() {
             self.begin_transfer(now);
@@ -167,9 +167,10 @@
 
     /// The voters that answer this leader just now with the data directory that
     /// counts, the leader among them.
-    pub fn present_voters(&self, now: Time) -> Vec<(Daemon, Voter)> {
+    pub fn connected_voters(&self, now: Time) -> Vec<(Daemon, Voter)> {
         let answers = |daemon: &Daemon, voter: &Voter| {
-            let progress = self.progress.get(daemon).filter(|progress| progress.mark == voter.mark && progress.heard > Time(0));
+            let progress =
+                self.progress.get(daemon).filter(|progress| progress.disk_id == voter.disk_id && progress.heard > Time(0));
             progress.is_some_and(|progress| progress.silent_for(now) < self.settings.timing.connected_within())
         };
         let voters = self.configuration.voters.iter();
@@ -190,10 +191,10 @@
     fn peer(&self, daemon: &Daemon, progress: &Progress, now: Time) -> Peer {
         let voters: &Voters = &self.configuration.voters;
         let known = progress.announced.as_ref().or_else(|| voters.get(daemon)).cloned().unwrap_or_default();
-        let voter = Voter { mark: progress.mark, ..known };
+        let voter = Voter { disk_id: progress.disk_id, ..known };
         let silent_for = progress.silent_for(now);
         let answers = progress.heard > Time(0) && silent_for < self.settings.timing.connected_within();
-        let caught_up = !progress.needs_snapshot && progress.matched >= self.commit;
+        let caught_up = !progress.needs_snapshot && progress.match_index >= self.commit_index;
         let reachable = !voter.address.is_empty() || voters.contains_key(daemon);
         let leaves = progress.left.is_some_and(|at| now.since(at) < LEAVE_REMEMBERED);
         let unwanted = leaves || self.unwanted_hosts.contains(voter.host());
--- a/crates/election/src/replica/voting.rs
+++ b/crates/election/src/replica/voting.rs
@@ -17,10 +17,10 @@
             self.dirty = true;
         }
         self.election_due = now + self.random_campaign_pause();
-        self.votes = BTreeMap::from([(self.me().clone(), self.state.mark)]);
+        self.votes = BTreeMap::from([(self.me().clone(), self.state.disk_id)]);
         let term = if pre_vote { Term(self.state.term.0 + 1) } else { self.state.term };
         let (last_index, last_term) = (self.state.last_index(), self.state.last_term());
-        let mut others = self.configuration.names();
+        let mut others = self.configuration.voter_names();
         others.remove(&self.settings.id);
         for daemon in others {
             self.send(daemon, Message::VoteRequest { pre_vote, term, last_index, last_term });
@@ -30,7 +30,7 @@
 
     fn count_votes(&mut self, now: Time) {
         let votes = &self.votes;
-        if !self.configuration.has_quorum(|daemon, mark| votes.get(daemon) == Some(&mark)) {
+        if !self.configuration.has_quorum(|daemon, disk_id| votes.get(daemon) == Some(&disk_id)) {
             return;
         }
         match self.role {
@@ -56,7 +56,7 @@
     /// own log says that it is a voter: the candidate, whose log is no older,
     /// counts only those marks that its own configuration names.
     pub(super) fn on_vote_request(&mut self, from: Daemon, pre_vote: bool, term: Term, last: (Term, u64), now: Time) {
-        if !self.state.founded || self.hears_leader(now) {
+        if !self.state.initialized || self.hears_leader(now) {
             return;
         }
         if !pre_vote && term > self.state.term {
@@ -76,11 +76,11 @@
         // A denial names our own term: a candidate that is behind would
         // otherwise ask for the same term again and again.
         let term = if pre_vote && granted { term } else { self.state.term };
-        let mark = self.state.mark;
-        self.send(from, Message::VoteResponse { pre_vote, term, granted, mark });
+        let disk_id = self.state.disk_id;
+        self.send(from, Message::VoteResponse { pre_vote, term, granted, disk_id });
     }
 
-    pub(super) fn on_vote_response(&mut self, from: Daemon, pre_vote: bool, term: Term, granted: bool, mark: Mark, now: Time) {
+    pub(super) fn on_vote_response(&mut self, from: Daemon, pre_vote: bool, term: Term, granted: bool, disk_id: Mark, now: Time) {
         let denied_before_campaign = pre_vote && !granted && self.role == Role::PreCandidate;
         if (!pre_vote || denied_before_campaign) && term > self.state.term {
             return self.adopt_term(term, now);
@@ -91,7 +91,7 @@
             _ => return,
         };
         if granted && term == wanted {
-            self.votes.insert(from, mark);
+            self.votes.insert(from, disk_id);
             self.count_votes(now);
         }
     }
@@ -113,7 +113,7 @@
         }
         self.transferred = Some(term);
         // Several hear it: each waits by its place, so that one asks first.
-        let names = self.configuration.names();
+        let names = self.configuration.voter_names();
         let others = names.iter().filter(|daemon| *daemon != from);
         let place = others.into_iter().position(|daemon| *daemon == self.settings.id).unwrap_or(0) as u64;
         self.election_due = now + Span(place * self.settings.timing.heartbeat.0 / 2);
--- a/crates/election/tests/earlier_format.rs
+++ b/crates/election/tests/earlier_format.rs
@@ -60,12 +60,12 @@
     let state = read.upgraded();
     assert_eq!(state.last_index(), 11);
     assert_eq!(state.snapshot.data.as_ref(), [4, 5]);
-    assert_eq!(state.snapshot.configuration.voters[&daemon(2)].mark, Mark(2));
+    assert_eq!(state.snapshot.configuration.voters[&daemon(2)].disk_id, Mark(2));
     assert_eq!(state.entry(10).unwrap().command, Command::Apply(6));
     let (index, configuration) = state.configuration_at(9);
     assert_eq!((index, configuration.voters.len()), (9, 2));
     let (index, configuration) = state.configuration_at(11);
-    assert_eq!((index, configuration.voters[&daemon(2)].mark), (11, Mark(9)));
+    assert_eq!((index, configuration.voters[&daemon(2)].disk_id), (11, Mark(9)));
     // What is written now is read back as it is.
     let mut bytes = Vec::new();
     ciborium::into_writer(&state, &mut bytes).unwrap();
--- a/crates/election/tests/election.rs
+++ b/crates/election/tests/election.rs
@@ -47,19 +47,19 @@
         let lost = group.follower();
         let other = (1..=3).map(name).find(|d| *d != lost && Some(d) != group.leader().as_ref()).unwrap();
         group.stop(&other);
-        let mark = group.start_empty(&lost, true);
+        let disk_id = group.start_empty(&lost, true);
         // One voter and one replica without its state are no quorum: nothing
         // is committed, not even the change that would readmit it.
-        let last = group.nodes.values().map(|node| node.replica.commit()).max();
+        let last = group.nodes.values().map(|node| node.replica.commit_index()).max();
         group.run(6_000);
         assert!(!group.propose(2), "seed {seed}: a lost disk counted");
-        assert_eq!(group.nodes.values().map(|node| node.replica.commit()).max(), last, "seed {seed}");
+        assert_eq!(group.nodes.values().map(|node| node.replica.commit_index()).max(), last, "seed {seed}");
         group.start(&other, false);
         group.run(6_000);
         assert!(group.propose(3), "seed {seed}");
         group.run(2_000);
         let replica = &group.nodes[&lost].replica;
-        assert!(replica.configuration().is_voter(&lost, mark), "seed {seed}");
+        assert!(replica.configuration().is_voter(&lost, disk_id), "seed {seed}");
         // Readmitted, it may even have been elected: its log is as good.
         assert!(matches!(replica.role(), Role::Follower | Role::Leader), "seed {seed}: {:?}", replica.role());
         assert_eq!(group.voters(), (1..=3).map(name).collect::<Vec<_>>());
@@ -81,7 +81,7 @@
     group.carry_out(&leader, actions);
     group.start(&late, false);
     group.run(2_000);
-    assert_eq!(group.nodes[&late].replica.commit(), group.nodes[&leader].replica.commit());
+    assert_eq!(group.nodes[&late].replica.commit_index(), group.nodes[&leader].replica.commit_index());
     assert_eq!(group.nodes[&late].replica.snapshot().data.as_ref(), [9]);
 }
 
@@ -91,7 +91,7 @@
     let voter = group.nodes[&name(1)].replica.configuration().voters[&name(1)].clone();
     let now = group.now;
     let second = &mut group.nodes.get_mut(&name(2)).unwrap().replica;
-    let sent = second.receive(name(1), Message::Bootstrap { voter, reply: false }, now);
+    let sent = second.receive(name(1), Message::Bootstrap { voter, is_reply: false }, now);
     let [Action::Send(to, answer)] = sent.as_slice() else { panic!("{sent:?}") };
     assert_eq!(*to, name(1));
     let again = group.nodes.get_mut(&name(1)).unwrap().replica.receive(name(2), answer.clone(), now);
@@ -103,16 +103,16 @@
 #[test]
 fn installing_a_snapshot_keeps_acknowledged_entries_behind_it() {
     let entry = |command| Entry { term: Term(2), command: Command::Apply(command) };
-    let mut state: HardState<u32> = HardState::fresh(Mark(1));
-    state.founded = true;
+    let mut state: HardState<u32> = HardState::empty(Mark(1));
+    state.initialized = true;
     state.log = (1..=5).map(entry).collect();
     let snapshot = Snapshot { index: 3, term: Term(2), ..Snapshot::default() };
     state.install(snapshot.clone());
     assert_eq!(state.last_index(), 5);
     assert_eq!(state.entry(4), Some(&entry(4)));
     // A log that disagrees gives way as a whole.
-    let mut other = HardState::fresh(Mark(1));
-    other.founded = true;
+    let mut other = HardState::empty(Mark(1));
+    other.initialized = true;
     other.log = (1..=5).map(|n| Entry { term: Term(1), command: Command::Apply(n) }).collect();
     other.install(snapshot);
     assert_eq!(other.last_index(), 3);
@@ -141,8 +141,8 @@
         previous_term: leader_state.snapshot.term,
         snapshot: Some(leader_state.snapshot.clone()),
         entries: Vec::new(),
-        commit: leader_state.snapshot.index,
-        sent: group.now,
+        commit_index: leader_state.snapshot.index,
+        sent_at: group.now,
     };
     let now = group.now;
     let actions = group.nodes.get_mut(&follower).unwrap().replica.receive(leader, Message::Append(request), now);
--- a/crates/election/tests/explorer/breakage.rs
+++ b/crates/election/tests/explorer/breakage.rs
@@ -51,7 +51,7 @@
         _ => return None,
     };
     let mut broken = state.clone();
-    broken.log.last_mut()?.command = Command::Configure(Configuration::of(voters));
+    broken.log.last_mut()?.command = Command::Configure(Configuration::simple(voters));
     Some(broken)
 }
 
--- a/crates/election/tests/explorer/ledger.rs
+++ b/crates/election/tests/explorer/ledger.rs
@@ -11,15 +11,15 @@
 pub enum Violation {
     TwoLeadersInTerm { term: Term, machines: [Machine; 2] },
     TwoReplicasMayAct { machines: Vec<Machine> },
-    VotedTwice { term: Term, mark: Mark },
+    VotedTwice { term: Term, disk_id: Mark },
     ElectedWithoutQuorum { term: Term, machine: Machine },
     CommittedWithoutQuorum { index: u64, machine: Machine },
     CommittedEntriesDiffer { index: u64, machine: Machine },
     LeaderLacksCommitted { index: u64, machine: Machine },
-    DiskLostCommitted { index: u64, mark: Mark },
+    DiskLostCommitted { index: u64, disk_id: Mark },
     SnapshotDiffers { index: u64, machine: Machine },
     TooFewVoters { index: u64, voters: usize },
-    LostMarkCountsAgain { index: u64, mark: Mark },
+    LostMarkCountsAgain { index: u64, disk_id: Mark },
     NoLeaderAfterHealing,
     NoLeaderAfterOneMoreLoss { lost: Machine },
     AcknowledgedCommandLost { index: u64 },
@@ -58,9 +58,9 @@
     }
 
     /// A data directory that was taken for lost is there again.
-    pub fn on_return(&mut self, mark: Mark) {
-        self.lost_marks.remove(&mark);
-        self.retired_marks.remove(&mark);
+    pub fn on_return(&mut self, disk_id: Mark) {
+        self.lost_marks.remove(&disk_id);
+        self.retired_marks.remove(&disk_id);
     }
 
     pub fn last_committed(&self) -> u64 {
@@ -85,15 +85,15 @@
 
     pub fn on_durable(&mut self, state: &HardState<u32>) -> Result<(), Violation> {
         if let Some(vote) = &state.vote {
-            let earlier = self.votes.insert((state.term, state.mark), vote.clone());
+            let earlier = self.votes.insert((state.term, state.disk_id), vote.clone());
             if earlier.is_some_and(|earlier| earlier != *vote) {
-                return Err(Violation::VotedTwice { term: state.term, mark: state.mark });
+                return Err(Violation::VotedTwice { term: state.term, disk_id: state.disk_id });
             }
         }
-        let covered = self.covered.entry(state.mark).or_default();
+        let covered = self.covered.entry(state.disk_id).or_default();
         *covered = state.snapshot.index.max(*covered);
         for (index, entry) in (state.snapshot.index + 1..).zip(&state.log) {
-            self.holders.entry((index, entry.term)).or_default().insert(state.mark);
+            self.holders.entry((index, entry.term)).or_default().insert(state.disk_id);
         }
         Ok(())
     }
@@ -101,24 +101,24 @@
     /// A data directory never loses a committed entry that it once held.
     pub fn on_state(&self, state: &HardState<u32>) -> Result<(), Violation> {
         for (index, entry) in self.committed.range(state.snapshot.index + 1..) {
-            let held = self.ever_held(*index, entry.term, state.mark);
+            let held = self.ever_held(*index, entry.term, state.disk_id);
             if held && state.term_at(*index) != Some(entry.term) {
-                return Err(Violation::DiskLostCommitted { index: *index, mark: state.mark });
+                return Err(Violation::DiskLostCommitted { index: *index, disk_id: state.disk_id });
             }
         }
         Ok(())
     }
 
-    fn ever_held(&self, index: u64, term: Term, mark: Mark) -> bool {
-        let in_log = self.holders.get(&(index, term)).is_some_and(|marks| marks.contains(&mark));
-        in_log || self.covered.get(&mark).is_some_and(|covered| *covered >= index)
+    fn ever_held(&self, index: u64, term: Term, disk_id: Mark) -> bool {
+        let in_log = self.holders.get(&(index, term)).is_some_and(|marks| marks.contains(&disk_id));
+        in_log || self.covered.get(&disk_id).is_some_and(|covered| *covered >= index)
     }
 
     /// Whether a quorum ever held this entry of `state`, whatever its term.
     pub fn counted(&self, index: u64, state: &HardState<u32>) -> bool {
         let configuration = state.configuration_at(state.last_index()).1;
         let term = state.term_at(index);
-        term.is_some_and(|term| configuration.has_quorum(|_, mark| self.ever_held(index, term, mark)))
+        term.is_some_and(|term| configuration.has_quorum(|_, disk_id| self.ever_held(index, term, disk_id)))
     }
 
     pub fn on_leader(&mut self, machine: Machine, term: Term, daemon: &Daemon, state: &HardState<u32>) -> Result<(), Violation> {
@@ -128,7 +128,7 @@
         if let Some(index) = self.first_missing(state) {
             return Err(Violation::LeaderLacksCommitted { index, machine });
         }
-        let voted = |_: &Daemon, mark: Mark| self.votes.get(&(term, mark)) == Some(daemon);
+        let voted = |_: &Daemon, disk_id: Mark| self.votes.get(&(term, disk_id)) == Some(daemon);
         if !state.configuration_at(state.last_index()).1.has_quorum(voted) {
             return Err(Violation::ElectedWithoutQuorum { term, machine });
         }
@@ -144,7 +144,7 @@
         configuration: &Configuration,
     ) -> Result<(), Violation> {
         let Some(term) = state.term_at(index) else { return Ok(()) };
-        if configuration.has_quorum(|_, mark| self.ever_held(index, term, mark)) {
+        if configuration.has_quorum(|_, disk_id| self.ever_held(index, term, disk_id)) {
             return Ok(());
         }
         Err(Violation::CommittedWithoutQuorum { index, machine })
@@ -171,12 +171,12 @@
         if voters < FEWEST_VOTERS {
             return Err(Violation::TooFewVoters { index, voters });
         }
-        let named: BTreeSet<Mark> = configuration.members().map(|(_, voter)| voter.mark).collect();
-        if let Some(mark) = named.intersection(&self.retired_marks).next() {
-            return Err(Violation::LostMarkCountsAgain { index, mark: *mark });
+        let named: BTreeSet<Mark> = configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
+        if let Some(disk_id) = named.intersection(&self.retired_marks).next() {
+            return Err(Violation::LostMarkCountsAgain { index, disk_id: *disk_id });
         }
-        let before: BTreeSet<Mark> = self.configuration.members().map(|(_, voter)| voter.mark).collect();
-        let given_up = before.difference(&named).filter(|mark| self.lost_marks.contains(mark));
+        let before: BTreeSet<Mark> = self.configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
+        let given_up = before.difference(&named).filter(|disk_id| self.lost_marks.contains(disk_id));
         self.retired_marks.extend(given_up);
         self.configuration = configuration.clone();
         Ok(())
--- a/crates/election/tests/explorer/world.rs
+++ b/crates/election/tests/explorer/world.rs
@@ -89,8 +89,8 @@
     daemon.as_str().rsplit('-').next()?.parse().ok()
 }
 
-fn voter(machine: Machine, mark: Mark, zone: usize) -> Voter {
-    Voter { mark, address: format!("{}:7000", name(machine)), zone: Zone(format!("zone-{zone}")) }
+fn voter(machine: Machine, disk_id: Mark, zone: usize) -> Voter {
+    Voter { disk_id, address: format!("{}:7000", name(machine)), zone: Zone(format!("zone-{zone}")) }
 }
 
 fn hash_of(value: impl Hash) -> u64 {
@@ -111,7 +111,7 @@
     /// with empty disks.
     pub fn founded(spares: usize, target_voters: usize, random_seed: u64) -> World {
         let voters = (1..=3).map(|machine| (name(machine), voter(machine, Mark(machine as u64), machine % ZONES)));
-        let configuration = Configuration::of(voters.collect());
+        let configuration = Configuration::simple(voters.collect());
         let mut world = World {
             now: BEGINNING,
             nodes: BTreeMap::new(),
@@ -133,7 +133,7 @@
         }
         for machine in 1..=3 {
             let mut state = world.nodes[&machine].disk.clone();
-            state.founded = true;
+            state.initialized = true;
             state.snapshot.configuration = configuration.clone();
             world.start_from(machine, state);
         }
@@ -199,9 +199,9 @@
     }
 
     fn fresh_disk(&mut self) -> HardState<u32> {
-        let mark = Mark(self.next_mark);
+        let disk_id = Mark(self.next_mark);
         self.next_mark += 1;
-        HardState::fresh(mark)
+        HardState::empty(disk_id)
     }
 
     fn node_mut(&mut self, machine: Machine) -> &mut Node {
@@ -231,7 +231,7 @@
 
     fn settings(&self, machine: Machine) -> ReplicaSettings {
         let node = &self.nodes[&machine];
-        let voter = voter(machine, node.disk.mark, node.zone);
+        let voter = voter(machine, node.disk.disk_id, node.zone);
         ReplicaSettings {
             id: name(machine),
             address: voter.address,
@@ -250,8 +250,8 @@
     }
 
     fn acting(&self) -> Vec<Machine> {
-        let may_act = |node: &Node| node.replica.as_ref().is_some_and(|replica| replica.may_act(self.now));
-        self.nodes.iter().filter(|(_, node)| may_act(node)).map(|(machine, _)| *machine).collect()
+        let is_active_leader = |node: &Node| node.replica.as_ref().is_some_and(|replica| replica.is_active_leader(self.now));
+        self.nodes.iter().filter(|(_, node)| is_active_leader(node)).map(|(machine, _)| *machine).collect()
     }
 
     /// Whether the group has recovered from everything before, so that it has
@@ -263,7 +263,7 @@
             let node = machine_of(daemon).and_then(|machine| self.nodes.get(&machine));
             node.is_some_and(|node| {
                 let in_force = node.disk.configuration_at(node.disk.last_index()).1;
-                let settled = node.replica.is_some() && node.writes.is_empty() && node.disk.mark == voter.mark;
+                let settled = node.replica.is_some() && node.writes.is_empty() && node.disk.disk_id == voter.disk_id;
                 settled && in_force == configuration && self.ledger.first_missing(&node.disk).is_none()
             })
         };
@@ -307,7 +307,7 @@
         if may_lose {
             steps.extend([Step::Wipe(machine), Step::Remove(machine)]);
         }
-        if replica.may_act(self.now) {
+        if replica.is_active_leader(self.now) {
             steps.push(Step::Propose(machine));
         }
         if node.applied.len() >= 2 {
@@ -392,11 +392,11 @@
 
     fn wipe(&mut self, machine: Machine) {
         self.crash(machine);
-        let lost = self.nodes[&machine].disk.mark;
+        let lost = self.nodes[&machine].disk.disk_id;
         Arc::make_mut(&mut self.ledger).lost_marks.insert(lost);
         let mut disk = self.fresh_disk();
         if self.breakage == Some(Breakage::KeepsMarkWhenWiped) {
-            disk.mark = lost;
+            disk.disk_id = lost;
         }
         self.node_mut(machine).disk = disk;
         self.start(machine);
@@ -406,14 +406,14 @@
         self.crash(machine);
         if let Some(node) = self.nodes.remove(&machine) {
             self.vacant_zones.push(node.zone);
-            Arc::make_mut(&mut self.ledger).lost_marks.insert(node.disk.mark);
+            Arc::make_mut(&mut self.ledger).lost_marks.insert(node.disk.disk_id);
             self.removed.insert(machine, node);
         }
     }
 
     fn bring_back(&mut self, machine: Machine) -> Result<(), Violation> {
         let node = self.removed.remove(&machine).expect("a machine that was removed");
-        Arc::make_mut(&mut self.ledger).on_return(node.disk.mark);
+        Arc::make_mut(&mut self.ledger).on_return(node.disk.disk_id);
         self.nodes.insert(machine, node);
         if self.breakage == Some(Breakage::ReturnsWithOlderDisk) {
             return self.return_with_older_disk(machine);
@@ -532,14 +532,14 @@
     pub fn describe(&self) -> String {
         let line = |(machine, node): (&Machine, &Arc<Node>)| {
             let replica = node.replica.as_ref();
-            let (role, commit) = (replica.map(Replica::role), replica.map_or(0, Replica::commit));
+            let (role, commit) = (replica.map(Replica::role), replica.map_or(0, Replica::commit_index));
             let configuration = replica.map(|replica| replica.configuration().clone()).unwrap_or_default();
             let named = |voters: &BTreeMap<Daemon, Voter>| -> Vec<String> {
-                voters.iter().map(|(daemon, voter)| format!("{daemon}/{}", voter.mark.0)).collect()
+                voters.iter().map(|(daemon, voter)| format!("{daemon}/{}", voter.disk_id.0)).collect()
             };
             format!(
                 "{machine}/{}: {role:?} {:?} vote {:?} last {}@{:?} snapshot {} commit {commit} voters {:?} outgoing {:?} leader {:?} acts {:?}\n",
-                node.disk.mark.0,
+                node.disk.disk_id.0,
                 node.latest.term,
                 node.latest.vote,
                 node.latest.last_index(),
@@ -548,7 +548,7 @@
                 named(&configuration.voters),
                 configuration.outgoing.as_ref().map(named),
                 replica.and_then(|replica| replica.leader(self.now)),
-                replica.map(|replica| replica.may_act(self.now)),
+                replica.map(|replica| replica.is_active_leader(self.now)),
             )
         };
         let lines: String = self.nodes.iter().map(line).collect();
--- a/crates/election/tests/explorer/world/faults.rs
+++ b/crates/election/tests/explorer/world/faults.rs
@@ -39,8 +39,9 @@
         if arrives || self.breakage != Some(Breakage::AnswersForTheDeaf) {
             return;
         }
-        let outcome = AppendOutcome::Accepted { matched: request.previous_index };
-        let answer = Message::AppendResponse { term: request.term, outcome, mark: receiver.disk.mark, sent: request.sent };
+        let outcome = AppendOutcome::Accepted { match_index: request.previous_index };
+        let answer =
+            Message::AppendResponse { term: request.term, outcome, disk_id: receiver.disk.disk_id, sent_at: request.sent_at };
         let fingerprint = hash_of((to, from, hash_of_encoding(&answer)));
         self.pending.push(Arc::new(Envelope { from: to, to: from, message: answer, fingerprint }));
     }
@@ -59,9 +60,11 @@
         }
         let receiver = &self.nodes[&envelope.to].latest;
         let configuration = receiver.configuration_at(receiver.last_index()).1;
-        let named = configuration.voters.get(&name(envelope.from)).map(|voter| voter.mark);
-        if let (Message::VoteResponse { mark, .. } | Message::AppendResponse { mark, .. }, Some(named)) = (&mut message, named) {
-            *mark = named;
+        let named = configuration.voters.get(&name(envelope.from)).map(|voter| voter.disk_id);
+        if let (Message::VoteResponse { disk_id, .. } | Message::AppendResponse { disk_id, .. }, Some(named)) =
+            (&mut message, named)
+        {
+            *disk_id = named;
         }
         message
     }
@@ -72,8 +75,8 @@
         request.entries.truncate(1);
         let state = &self.nodes[&from].latest;
         let counted = (1..=state.last_index()).rev().find(|index| self.ledger.counted(*index, state)).unwrap_or(0);
-        if counted > request.commit && request.snapshot.is_none() {
-            let news = AppendRequest { commit: counted, entries: Vec::new(), ..request.clone() };
+        if counted > request.commit_index && request.snapshot.is_none() {
+            let news = AppendRequest { commit_index: counted, entries: Vec::new(), ..request.clone() };
             self.post(from, to, Message::Append(news));
         }
     }
--- a/crates/election/tests/explorer/world/host.rs
+++ b/crates/election/tests/explorer/world/host.rs
@@ -13,9 +13,9 @@
         let node = self.node_mut(machine);
         let Some(replica) = &mut node.replica else { return Ok(()) };
         node.inputs = hash_of((node.inputs, input));
-        let (commit, configuration) = (replica.commit(), replica.configuration().clone());
+        let (commit, configuration) = (replica.commit_index(), replica.configuration().clone());
         let actions = call(replica, now);
-        let (committed, leads) = (replica.commit(), replica.role() == Role::Leader);
+        let (committed, leads) = (replica.commit_index(), replica.role() == Role::Leader);
         let persisted = self.take_states(machine, &actions)?;
         if committed > commit {
             self.check_commit(machine, committed, leads.then_some(&configuration))?;
@@ -64,7 +64,7 @@
                 let state = self.nodes[&machine].latest.clone();
                 Arc::make_mut(&mut self.ledger).on_leader(machine, term, &name(machine), &state)?;
             }
-            Action::Persist(..) | Action::Reconfigured(_) | Action::Learn(..) | Action::LostLeadership => {}
+            Action::Persist(..) | Action::ConfigurationChanged(_) | Action::SetPeerAddress(..) | Action::LostLeadership => {}
         }
         Ok(())
     }
--- a/crates/election/tests/explorer/world/starts.rs
+++ b/crates/election/tests/explorer/world/starts.rs
@@ -74,7 +74,7 @@
     /// leader, which restarted, has the change in its log.
     pub fn with_a_change_begun(random_seed: u64, breakage: Breakage) -> World {
         let mut world = World::founded(2, 5, random_seed).with_breakage(Some(breakage));
-        let begun = |node: &Arc<Node>| node.latest.configuration_at(node.latest.last_index()).1.names().len() > 3;
+        let begun = |node: &Arc<Node>| node.latest.configuration_at(node.latest.last_index()).1.voter_names().len() > 3;
         while !world.nodes.values().any(begun) {
             world.run_quietly(QUIET_TICK).expect("a quiet group breaks nothing");
         }
--- a/crates/election/tests/harness/mod.rs
+++ b/crates/election/tests/harness/mod.rs
@@ -63,11 +63,11 @@
     }
     /// Starts a replica on an empty disk.
     pub fn start_empty(&mut self, daemon: &Daemon, bootstrap: bool) -> Mark {
-        let mark = Mark(self.next_mark);
+        let disk_id = Mark(self.next_mark);
         self.next_mark += 1;
-        self.disks.insert(daemon.clone(), HardState::fresh(mark));
+        self.disks.insert(daemon.clone(), HardState::empty(disk_id));
         self.start(daemon, bootstrap);
-        mark
+        disk_id
     }
     /// Starts a replica on the disk it has.
     pub fn start(&mut self, daemon: &Daemon, bootstrap: bool) {
@@ -84,7 +84,7 @@
         };
         let replica = Replica::new(settings, self.disks[daemon].clone(), self.now);
         let mut addresses: BTreeMap<Daemon, String> = self.seeds.iter().map(|seed| (seed.clone(), address(seed))).collect();
-        addresses.extend(replica.configuration().members().map(|(d, v)| (d.clone(), v.address.clone())));
+        addresses.extend(replica.configuration().all_voters().map(|(d, v)| (d.clone(), v.address.clone())));
         self.nodes.insert(daemon.clone(), Node { replica, addresses, applied: Vec::new() });
     }
     pub fn stop(&mut self, daemon: &Daemon) {
@@ -118,12 +118,12 @@
                         node.applied.push(command);
                     }
                 }
-                Action::Reconfigured(configuration) => {
+                Action::ConfigurationChanged(configuration) => {
                     if let Some(node) = self.nodes.get_mut(daemon) {
-                        node.addresses.extend(configuration.members().map(|(d, v)| (d.clone(), v.address.clone())));
+                        node.addresses.extend(configuration.all_voters().map(|(d, v)| (d.clone(), v.address.clone())));
                     }
                 }
-                Action::Learn(other, address) => {
+                Action::SetPeerAddress(other, address) => {
                     if let Some(node) = self.nodes.get_mut(daemon) {
                         node.addresses.insert(other, address);
                     }
@@ -157,7 +157,7 @@
     }
     /// The one replica that may act, if any; two are an error.
     pub fn leader(&self) -> Option<Daemon> {
-        let acting = self.nodes.iter().filter(|(_, node)| node.replica.may_act(self.now));
+        let acting = self.nodes.iter().filter(|(_, node)| node.replica.is_active_leader(self.now));
         let acting: Vec<Daemon> = acting.map(|(daemon, _)| daemon.clone()).collect();
         assert!(acting.len() <= 1, "two leaders may act: {acting:?}");
         acting.into_iter().next()
--- a/crates/election/tests/membership.rs
+++ b/crates/election/tests/membership.rs
@@ -44,10 +44,10 @@
         for round in 0..6u32 {
             assert!(group.propose(round));
             let wiped = name(u64::from(round) % 3 + 1);
-            let mark = group.start_empty(&wiped, false);
+            let disk_id = group.start_empty(&wiped, false);
             group.run(SYNCED_AFTER);
             let leader = group.leader().unwrap_or_else(|| panic!("seed {seed} round {round}: no leader"));
-            assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, mark), "seed {seed} round {round}");
+            assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, disk_id), "seed {seed} round {round}");
             assert_eq!(group.voters().len(), 3);
         }
     }
@@ -105,7 +105,7 @@
             let actions = group.nodes.get_mut(&leaving).unwrap().replica.leave(now);
             group.carry_out(&leaving, actions);
             let mut waited = 0;
-            while !group.nodes[&leaving].replica.may_stop(group.now) {
+            while !group.nodes[&leaving].replica.can_stop(group.now) {
                 group.run(50);
                 waited += 50;
                 assert!(waited <= 3_000, "seed {seed}");
@@ -128,7 +128,7 @@
     let now = group.now;
     let actions = group.nodes.get_mut(&leaving).unwrap().replica.leave(now);
     group.carry_out(&leaving, actions);
-    assert!(group.nodes[&leaving].replica.may_stop(group.now));
+    assert!(group.nodes[&leaving].replica.can_stop(group.now));
 }
 
 #[test]
@@ -165,7 +165,7 @@
         group.isolate(&old);
         group.run(20_000);
         assert!(group.propose(2), "seed {seed}");
-        assert!(!group.nodes[&old].replica.may_act(group.now));
+        assert!(!group.nodes[&old].replica.is_active_leader(group.now));
         group.cut.clear();
         group.run(6_000);
         assert!(group.propose(3));
@@ -212,7 +212,7 @@
     group.run(2_000);
     let now = group.now + Span::secs(60);
     let spare = &mut group.nodes.get_mut(&name(4)).unwrap().replica;
-    let (term, last_index) = (Term(spare.term().0 + 1), spare.commit() + 1);
+    let (term, last_index) = (Term(spare.term().0 + 1), spare.commit_index() + 1);
     let request = Message::VoteRequest { pre_vote: false, term, last_index, last_term: term };
     let actions = spare.receive(name(2), request, now);
     let granted = actions.iter().any(|action| matches!(action, Action::Persist(_, state) if state.vote == Some(name(2))));
@@ -225,20 +225,25 @@
     let mut group = Group::new(4);
     let leader = group.leader().unwrap();
     let wiped = group.follower();
-    let old_mark = group.disks[&wiped].mark;
+    let old_mark = group.disks[&wiped].disk_id;
     assert!(group.propose(1));
     let sent = group.now;
     group.run(500);
-    let mark = group.start_empty(&wiped, false);
+    let disk_id = group.start_empty(&wiped, false);
     group.run(4_000);
     let term = group.nodes[&leader].replica.term();
-    let late = Message::AppendResponse { term, outcome: AppendOutcome::Accepted { matched: 1_000 }, mark: old_mark, sent };
+    let late = Message::AppendResponse {
+        term,
+        outcome: AppendOutcome::Accepted { match_index: 1_000 },
+        disk_id: old_mark,
+        sent_at: sent,
+    };
     let now = group.now;
     let actions = group.nodes.get_mut(&leader).unwrap().replica.receive(wiped.clone(), late, now);
     group.carry_out(&leader, actions);
     group.run(2_000);
     assert_eq!(group.leader(), Some(leader.clone()));
-    assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, mark));
+    assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, disk_id));
 }
 
 /// A voter is replaced as it stops, and comes back with its disk while the
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -40,8 +40,8 @@
     /// Whether a voting placement replica runs on a host, or may still count
     /// as one: until a configuration without it is committed.
     fn votes_on(&self, host: &str) -> bool {
-        let named = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
-        named || !self.election.membership_settled()
+        let named = self.election.configuration().all_voters().any(|(_, voter)| voter.host() == host);
+        named || !self.election.is_membership_stable()
     }
 }
 
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -17,8 +17,8 @@
 
 impl Placement {
     fn redundancy(&self, now: Time) -> Redundancy {
-        let voters = self.election.present_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
-        let voters = Group { size: self.election.configuration().names().len(), present: voters };
+        let voters = self.election.connected_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
+        let voters = Group { size: self.election.configuration().voter_names().len(), present: voters };
         let sets = self.hard.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
         Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
     }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -86,8 +86,8 @@
     let mut f = Fleet::whole();
     f.add("agent-1", "z1");
     f.run(2_000);
-    let before = f.cores[&f.primary().unwrap()].election.commit();
+    let before = f.cores[&f.primary().unwrap()].election.commit_index();
     f.fakes.get_mut(&daemon("agent-1")).unwrap().me.life = Mark(99);
     f.run(2_000);
-    assert_eq!(f.cores[&f.primary().unwrap()].election.commit(), before, "nothing is decided by its life");
+    assert_eq!(f.cores[&f.primary().unwrap()].election.commit_index(), before, "nothing is decided by its life");
 }
--- a/crates/placement/tests/disk.rs
+++ b/crates/placement/tests/disk.rs
@@ -65,6 +65,6 @@
     fleet.free(&standby);
     fleet.run(3_000);
     let primary = fleet.primary().unwrap();
-    let commit = fleet.cores[&primary].election.commit();
-    assert_eq!(fleet.cores[&standby].election.commit(), commit);
+    let commit = fleet.cores[&primary].election.commit_index();
+    assert_eq!(fleet.cores[&standby].election.commit_index(), commit);
 }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -197,7 +197,7 @@
         self.fakes.insert(daemon(name), one);
     }
     pub fn primary(&self) -> Option<Daemon> {
-        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.may_act(self.now);
+        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.is_active_leader(self.now);
         self.cores.keys().find(acts).cloned()
     }
     pub fn standby(&self) -> Daemon {
@@ -401,7 +401,7 @@
         stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Charter { .. }))).count()
     }
     pub fn committed(&self) -> u64 {
-        self.cores.values().map(|c| c.election.commit()).max().unwrap_or(0)
+        self.cores.values().map(|c| c.election.commit_index()).max().unwrap_or(0)
     }
 }
 
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -84,7 +84,7 @@
         f.kill(&daemon(second));
         f.run(6_000);
         let primary = f.primary().unwrap_or_else(|| panic!("no majority is left without {second}"));
-        let voters = f.cores[&primary].election.configuration().names();
+        let voters = f.cores[&primary].election.configuration().voter_names();
         assert!(voters.contains(&daemon("placement-4")) && !voters.contains(&daemon("placement-1")), "{voters:?}");
     }
 }
--- a/crates/placement/tests/revision.rs
+++ b/crates/placement/tests/revision.rs
@@ -366,7 +366,7 @@
     f.metered = Some((away.clone(), 0));
     f.restart_from(&away, old_files);
     let committed = f.committed();
-    f.until(2_000, |f| f.cores[&away].election.commit() >= committed);
+    f.until(2_000, |f| f.cores[&away].election.commit_index() >= committed);
     let (_, bytes) = f.metered.take().unwrap();
     let state = newest.to_string().len();
     assert!(bytes < 2 * state + BESIDE_THE_STATE, "{bytes} bytes to catch up with a state of {state}");
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -152,12 +152,12 @@
     pub fn folder(&self, d: &Daemon, hard: &Hard) -> Vec<(String, Bytes)> {
         let voter = |seed: &Daemon| {
             let member = self.member(seed);
-            Voter { mark: mark_of(seed), address: member.addr, zone: member.zone }
+            Voter { disk_id: mark_of(seed), address: member.addr, zone: member.zone }
         };
-        let configuration = Configuration::of(self.seeds().iter().map(|seed| (seed.clone(), voter(seed))).collect());
+        let configuration = Configuration::simple(self.seeds().iter().map(|seed| (seed.clone(), voter(seed))).collect());
         let snapshot = Snapshot { index: 8, term: Term(1), configuration, data: encode(hard).into() };
         let stored: HardState<Order> =
-            HardState { mark: mark_of(d), founded: true, term: Term(1), vote: None, snapshot, log: Vec::new() };
+            HardState { disk_id: mark_of(d), initialized: true, term: Term(1), vote: None, snapshot, log: Vec::new() };
         vec![(format!("hard-{:016x}", 1), Bytes::from(encode(&stored)))]
     }
 
