--- a/crates/election/src/earlier_format.rs
+++ b/crates/election/src/earlier_format.rs
@@ -1,9 +1,10 @@
-//! Reads the hard state that the version before this one wrote: members as a
-//! map of marks without addresses, and changes of one member as entries.
+//! Reads the hard state that the previous version wrote. It stored the
+//! configuration as a map from name to disk id, without addresses, and changed
+//! the membership by log entries that added or removed one member.
 use crate::configuration::Voters;
 use crate::prelude::*;
 
-/// A configuration in either form.
+/// A stored configuration, in the current or the earlier format.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum StoredConfiguration {
@@ -11,8 +12,8 @@
     Earlier(BTreeMap<Daemon, Mark>),
 }
 
-/// A voter whose address is not recorded; its seed list or its own messages
-/// tell where it is.
+/// A voter whose address was not stored. It is found through the seed list or
+/// through its own messages.
 fn without_address(disk_id: Mark) -> Voter {
     Voter { disk_id, ..Voter::default() }
 }
@@ -29,8 +30,9 @@
 }
 
 impl<C> HardState<C> {
-    /// Replaces entries that changed one member by the configuration that
-    /// they led to. Call it once, on a state that was read from disk.
+    /// Replaces each entry that added or removed one member by the
+    /// configuration that resulted from it. Call it once on a state read from
+    /// disk.
     pub fn upgraded(mut self) -> HardState<C> {
         let mut configuration = self.snapshot.configuration.clone();
         for entry in &mut self.log {
--- a/crates/election/src/hard_state.rs
+++ b/crates/election/src/hard_state.rs
@@ -1,16 +1,16 @@
-//! What a replica keeps on disk.
+//! The hard state of a replica: what it keeps on disk.
 use crate::prelude::*;
 use bytes::Bytes;
 
-/// What one log entry does. The aliases are the names of the version before.
+/// What one log entry does. The aliases are the names that the earlier format used.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command<C> {
-    /// Opens a term, so that entries of earlier terms can be committed.
+    /// The first entry of a leader's term. Committing it commits the entries of earlier terms.
     #[serde(alias = "Open")]
     Noop,
-    /// Puts this configuration in force, from the moment it is in the log.
+    /// Puts this configuration in force as soon as it is in the log.
     Configure(Configuration),
-    /// A command of the state machine above.
+    /// A command for the host's state machine.
     #[serde(alias = "Do")]
     Apply(C),
     /// Only read, never written: see [`crate::earlier_format`].
@@ -27,7 +27,7 @@
     pub command: Command<C>,
 }
 
-/// The state of everything up to and including `index`.
+/// The result of all entries up to and including `index`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     pub index: u64,
@@ -35,15 +35,15 @@
     /// The configuration in force at `index`.
     #[serde(alias = "members")]
     pub configuration: Configuration,
-    /// The applied state of the state machine above, in its own encoding.
+    /// The host's state machine, in its own encoding.
     pub data: Bytes,
 }
 
-/// The whole durable state, written as one version of one file.
+/// The whole durable state. Each write replaces all of it.
 ///
-/// Invariants: a vote belongs to `term`; `log[0]` is entry
-/// `snapshot.index + 1`; `founded` is false only in a data directory that has
-/// never held a state of the group.
+/// Invariants: the vote belongs to `term`; `log[0]` is the entry with index
+/// `snapshot.index + 1`; `initialized` is false only in a data directory that
+/// has never held a state of the group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HardState<C> {
     #[serde(rename = "mark")]
@@ -70,7 +70,7 @@
     pub fn last_term(&self) -> Term {
         self.log.last().map_or(self.snapshot.term, |entry| entry.term)
     }
-    /// The term of an entry, where it is still known.
+    /// The term of an entry, if the log or the snapshot still has it.
     pub fn term_at(&self, index: u64) -> Option<Term> {
         if index == self.snapshot.index {
             return Some(self.snapshot.term);
@@ -82,26 +82,26 @@
         let offset = index.checked_sub(self.snapshot.index + 1)?;
         self.log.get(offset as usize)
     }
-    /// The latest configuration up to `index`, and the index of its entry.
+    /// The latest configuration up to `index`, with the index of its entry.
     pub fn configuration_at(&self, index: u64) -> (u64, &Configuration) {
-        let known = index.saturating_sub(self.snapshot.index) as usize;
-        let entries = self.log.iter().take(known).enumerate().rev();
+        let entry_count = index.saturating_sub(self.snapshot.index) as usize;
+        let entries = self.log.iter().take(entry_count).enumerate().rev();
         let latest = entries.into_iter().find_map(|(offset, entry)| match &entry.command {
             Command::Configure(configuration) => Some((self.snapshot.index + 1 + offset as u64, configuration)),
             _ => None,
         });
         latest.unwrap_or((self.snapshot.index, &self.snapshot.configuration))
     }
-    /// Drops every entry from `index` on.
+    /// Removes every entry from `index` on.
     pub fn truncate_from(&mut self, index: u64) {
         self.log.truncate(index.saturating_sub(self.snapshot.index + 1) as usize);
     }
-    /// Takes over a snapshot that is newer than the state held. Entries behind
-    /// it are kept where the log agrees with it: they may have been
-    /// acknowledged, and the leader may already count on them.
-    pub fn install(&mut self, snapshot: Snapshot) {
-        let agrees = self.initialized && self.term_at(snapshot.index) == Some(snapshot.term);
-        match agrees {
+    /// Installs a snapshot that is newer than the current one. If the log
+    /// agrees with it, the entries after it are kept: they may have been
+    /// acknowledged, and the leader may have counted them to commit.
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) {
+        let log_agrees = self.initialized && self.term_at(snapshot.index) == Some(snapshot.term);
+        match log_agrees {
             true => drop(self.log.drain(..(snapshot.index - self.snapshot.index) as usize)),
             false => self.log.clear(),
         }
--- a/crates/election/src/membership_policy.rs
+++ b/crates/election/src/membership_policy.rs
@@ -1,23 +1,24 @@
-//! Which replicas should be the voters: a pure decision of the leader.
+//! Decides which replicas should be the voters, from the leader's view.
 //!
-//! Ways weighed. *One change after the other* (Raft's single-server change):
-//! to replace a voter the group passes through an even size, in which the loss
-//! of one more voter leaves no majority, or a wiped voter is expelled and the
-//! group of two left tolerates nothing. *Joint consensus* (chosen): a voter is
-//! replaced in one step that needs no more replicas than the configuration
-//! before it did, and several can change at once, so a group grows from three
-//! to five without passing through four.
+//! Membership changes use joint consensus rather than Raft's single-server
+//! changes. With single-server changes, replacing a voter takes the group
+//! through an even size, in which the loss of one more voter leaves no
+//! majority; or a wiped voter is removed first, and the remaining group of two
+//! tolerates no loss. With joint consensus a voter is replaced in one step
+//! that needs no more replicas than the previous configuration did, and
+//! several voters can change at once, so that a group grows from three to five
+//! without passing through four.
 use crate::configuration::Voters;
 use crate::prelude::*;
 
-/// What the group is to look like.
+/// The intended size of the group and when a voter is replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipPolicy {
-    /// Voters wanted: `2f + 1` for `f` losses at once.
+    /// Number of voters: `2f + 1` to tolerate `f` simultaneous failures.
     pub target_voters: usize,
     /// A voter that has been silent for this long is replaced.
     pub replace_after: Span,
-    /// The same, where no replacement keeps the zones apart.
+    /// The same if every replacement puts too many voters into one zone.
     pub replace_across_zones_after: Span,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl MembershipPolicy {
-    /// The policy for a group that has to bear `failures` losses at once.
+    /// The policy for a group that has to tolerate `failures` simultaneous failures.
     pub fn tolerating(failures: usize) -> MembershipPolicy {
         MembershipPolicy {
             target_voters: 2 * failures.max(1) + 1,
@@ -38,61 +39,61 @@
     }
 }
 
-/// A replica as the policy sees it.
+/// What the policy knows about a replica.
 #[derive(Clone, Debug)]
-pub(crate) struct Peer {
+pub(crate) struct PeerStatus {
     pub voter: Voter,
     pub silent_for: Span,
-    /// It holds everything committed and answered a moment ago.
+    /// It is connected, can be reached and holds everything that is committed.
     pub eligible: bool,
-    /// It is about to stop or its machine is to be taken away.
-    pub unwanted: bool,
+    /// It must not be a voter: it is about to stop, or its host is excluded.
+    pub excluded: bool,
 }
 
-/// The voters that should follow `current`, if others than these.
-pub(crate) fn next_voters(current: &Voters, peers: &BTreeMap<Daemon, Peer>, policy: &MembershipPolicy) -> Option<Voters> {
-    let mut plan = Plan { voters: current.clone(), peers, policy };
-    plan.renew_wiped();
-    plan.replace_lost();
-    plan.grow();
-    plan.spread_over_zones();
+/// The voters that should replace `current`; `None` if no change is due.
+pub(crate) fn next_voters(current: &Voters, peers: &BTreeMap<Daemon, PeerStatus>, policy: &MembershipPolicy) -> Option<Voters> {
+    let mut plan = VoterPlan { voters: current.clone(), peers, policy };
+    plan.readmit_wiped_voters();
+    plan.replace_lost_voters();
+    plan.add_voters();
+    plan.balance_zones();
     (plan.voters != *current).then_some(plan.voters)
 }
 
-struct Plan<'a> {
+struct VoterPlan<'a> {
     voters: Voters,
-    peers: &'a BTreeMap<Daemon, Peer>,
+    peers: &'a BTreeMap<Daemon, PeerStatus>,
     policy: &'a MembershipPolicy,
 }
 
-/// The most voters that may stand in one zone, so that a zone can be lost.
-fn zone_limit(voters: usize) -> usize {
+/// The largest number of voters in one zone with which the group survives the loss of that zone.
+fn max_voters_per_zone(voters: usize) -> usize {
     (voters.saturating_sub(1) / 2).max(1)
 }
 
-impl Plan<'_> {
-    fn in_zone(&self, zone: &Zone) -> usize {
+impl VoterPlan<'_> {
+    fn voters_in_zone(&self, zone: &Zone) -> usize {
         self.voters.values().filter(|voter| voter.zone == *zone).count()
     }
 
-    fn crowded(&self) -> bool {
-        let limit = zone_limit(self.voters.len());
-        self.voters.values().any(|voter| self.in_zone(&voter.zone) > limit)
+    fn has_overfull_zone(&self) -> bool {
+        let limit = max_voters_per_zone(self.voters.len());
+        self.voters.values().any(|voter| self.voters_in_zone(&voter.zone) > limit)
     }
 
-    /// The eligible replica outside the voters whose zone holds the fewest.
+    /// The eligible non-voter whose zone has the fewest voters.
     fn best_candidate(&self) -> Option<(Daemon, Voter)> {
         let candidates = self.peers.iter().filter(|(daemon, peer)| {
             let outside = !self.voters.contains_key(*daemon);
-            outside && peer.eligible && !peer.unwanted
+            outside && peer.eligible && !peer.excluded
         });
-        let best = candidates.min_by_key(|(daemon, peer)| (self.in_zone(&peer.voter.zone), *daemon));
+        let best = candidates.min_by_key(|(daemon, peer)| (self.voters_in_zone(&peer.voter.zone), *daemon));
         best.map(|(daemon, peer)| (daemon.clone(), peer.voter.clone()))
     }
 
-    /// A voter that came back with an empty data directory and was caught up
-    /// takes its own place again.
-    fn renew_wiped(&mut self) {
+    /// Admits voters again that restarted with an empty data directory and
+    /// have caught up.
+    fn readmit_wiped_voters(&mut self) {
         for (daemon, voter) in &mut self.voters {
             let Some(peer) = self.peers.get(daemon) else { continue };
             if peer.eligible && peer.voter.disk_id != voter.disk_id {
@@ -101,7 +102,7 @@
         }
     }
 
-    fn replace_lost(&mut self) {
+    fn replace_lost_voters(&mut self) {
         let lost: Vec<Daemon> = self.voters.keys().filter(|daemon| self.is_lost(daemon)).cloned().collect();
         for daemon in lost {
             self.replace(&daemon);
@@ -110,33 +111,33 @@
 
     fn is_lost(&self, daemon: &Daemon) -> bool {
         let Some(peer) = self.peers.get(daemon) else { return false };
-        peer.unwanted || peer.silent_for >= self.policy.replace_after
+        peer.excluded || peer.silent_for >= self.policy.replace_after
     }
 
     fn replace(&mut self, daemon: &Daemon) {
-        let before = self.voters.clone();
+        let previous = self.voters.clone();
         self.voters.remove(daemon);
         let Some((name, voter)) = self.best_candidate() else {
-            self.voters = before;
+            self.voters = previous;
             return;
         };
         self.voters.insert(name, voter);
         let peer = self.peers.get(daemon);
-        let patient = peer.is_some_and(|p| !p.unwanted && p.silent_for < self.policy.replace_across_zones_after);
-        if patient && self.crowded() {
-            self.voters = before;
+        let may_wait = peer.is_some_and(|p| !p.excluded && p.silent_for < self.policy.replace_across_zones_after);
+        if may_wait && self.has_overfull_zone() {
+            self.voters = previous;
         }
     }
 
-    /// Adds voters up to the size wanted, by steps from odd to odd size: an
-    /// even group bears no more losses than the odd one below it.
-    fn grow(&mut self) {
+    /// Adds voters up to the target size, from one odd size to the next: an
+    /// even group tolerates no more failures than the next smaller odd one.
+    fn add_voters(&mut self) {
         while self.voters.len() < self.policy.target_voters {
-            let before = self.voters.clone();
-            let wanted = if before.len().is_multiple_of(2) { 1 } else { 2 };
-            for _ in 0..wanted {
+            let previous = self.voters.clone();
+            let additions = if previous.len().is_multiple_of(2) { 1 } else { 2 };
+            for _ in 0..additions {
                 let Some((name, voter)) = self.best_candidate() else {
-                    self.voters = before;
+                    self.voters = previous;
                     return;
                 };
                 self.voters.insert(name, voter);
@@ -144,16 +145,19 @@
         }
     }
 
-    /// Moves a vote out of a crowded zone, where a replica elsewhere can take it.
-    fn spread_over_zones(&mut self) {
-        if !self.crowded() {
+    /// Replaces a voter of a zone with too many voters, if an eligible replica
+    /// stands in a zone with fewer.
+    fn balance_zones(&mut self) {
+        if !self.has_overfull_zone() {
             return;
         }
         let Some((name, voter)) = self.best_candidate() else { return };
-        let emptier = self.in_zone(&voter.zone);
-        let fullest = self.voters.iter().max_by_key(|(daemon, held)| (self.in_zone(&held.zone), *daemon));
-        let Some(leaving) = fullest.map(|(daemon, held)| (daemon.clone(), self.in_zone(&held.zone))) else { return };
-        if leaving.1 > emptier + 1 {
+        let candidate_zone_voters = self.voters_in_zone(&voter.zone);
+        let fullest_zone_voter = self.voters.iter().max_by_key(|(daemon, voter)| (self.voters_in_zone(&voter.zone), *daemon));
+        let Some(leaving) = fullest_zone_voter.map(|(daemon, voter)| (daemon.clone(), self.voters_in_zone(&voter.zone))) else {
+            return;
+        };
+        if leaving.1 > candidate_zone_voters + 1 {
             self.voters.remove(&leaving.0);
             self.voters.insert(name, voter);
         }
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -1,45 +1,47 @@
-//! What replicas send to each other, and what a replica asks of its host.
+//! The messages between replicas, and the actions that a replica returns to its host.
 use crate::prelude::*;
 
-/// A leader's entries for one replica; without entries, a heartbeat.
+/// Raft's AppendEntries, with an optional snapshot. Without entries it is a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AppendRequest<C> {
     pub term: Term,
     pub previous_index: u64,
     pub previous_term: Term,
-    /// For a replica that lacks what the log no longer holds.
+    /// Sent when the receiver lacks entries that the leader's log no longer holds.
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry<C>>,
     #[serde(rename = "commit")]
     pub commit_index: u64,
-    /// The leader's clock; echoed, it extends the leader's lease.
+    /// The leader's clock at sending. The response repeats it, which extends the leader's lease.
     #[serde(rename = "sent")]
     pub sent_at: Time,
 }
 
-/// What became of an [`AppendRequest`].
+/// How a replica answered an [`AppendRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log agrees with the leader's up to `matched`, durably.
+    /// The replica's durable log equals the leader's up to `match_index`.
     Accepted {
         #[serde(rename = "matched")]
         match_index: u64,
     },
-    /// The log does not agree; try from behind `hint`.
+    /// The logs differ before the sent entries; the leader retries with the entry after `hint`.
     Mismatch { hint: u64 },
-    /// An empty data directory: it needs the snapshot first.
+    /// The data directory is empty, so the replica needs the snapshot first.
     NeedsSnapshot,
-    /// The request's term is over.
+    /// The replica is in a later term than the request.
     StaleTerm,
 }
 
-/// Invariant: every `mark` is that of the sender's own data directory; an
-/// answer whose mark is not the one in the configuration never counts.
+/// A message between two replicas.
+///
+/// Invariant: `disk_id` is always that of the sender's own data directory. A
+/// response whose disk id is not the one in the configuration never counts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message<C> {
-    /// "My data directory is empty and I was told to bootstrap the group."
-    /// `reply` marks the answer of one that has bootstrapped; it is never
-    /// answered itself.
+    /// The sender's data directory is empty and its settings tell it to
+    /// bootstrap the group. With `is_reply`, the answer of a replica that has
+    /// already bootstrapped; a reply is never answered.
     Bootstrap {
         voter: Voter,
         #[serde(rename = "reply")]
@@ -67,46 +69,48 @@
         #[serde(rename = "sent")]
         sent_at: Time,
     },
-    /// The leader of this term leaves: whoever hears this may campaign at
-    /// once and is voted for though the leader was heard a moment ago.
+    /// The leader of this term gives up leadership. Receivers may campaign at
+    /// once, and grant votes although they heard from a leader recently.
     TransferLeadership {
         term: Term,
     },
-    /// "I hear no leader": asks to be caught up and considered as a voter.
+    /// The sender knows no current leader. It asks to be caught up and to be
+    /// considered as a voter.
     Join {
         voter: Voter,
     },
-    /// The answer of a replica that is not the leader but knows it.
+    /// The answer to `Join` of a replica that is not the leader but knows it.
     Redirect {
         leader: Daemon,
         address: String,
     },
-    /// "I am about to stop": a voter asks to be replaced first.
+    /// The sender is about to stop and asks to be replaced as a voter first.
     Leave {
         #[serde(rename = "mark")]
         disk_id: Mark,
     },
-    /// The leader's answer: nothing more is gained by waiting.
+    /// The leader's answer to `Leave`: the sender need not wait any longer,
+    /// because it has been replaced or no replacement exists.
     LeaveAccepted {
         #[serde(rename = "mark")]
         disk_id: Mark,
     },
 }
 
-/// Effects, in the order in which they have to happen. A `Send` that follows
-/// a `Persist` has already been held back until that write was durable.
+/// What the host has to do, in this order. A replica returns a `Send` only
+/// once every write that the message depends on is durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<C> {
     Send(Daemon, Message<C>),
-    /// Write this durably, then call `persisted` with the number.
+    /// Write the state durably, then call [`Replica::persisted`] with the number.
     Persist(u64, HardState<C>),
-    /// Apply a committed command.
+    /// Apply a committed command; with the index and term of its entry.
     Apply(u64, Term, C),
     /// Replace the applied state by this snapshot.
     InstallSnapshot(Snapshot),
-    /// The configuration in force changed; addresses may be new.
+    /// The configuration in force changed; voters' addresses may have changed too.
     ConfigurationChanged(Configuration),
-    /// Where a replica that announced itself is reached.
+    /// The address of a replica that announced itself, or of the leader.
     SetPeerAddress(Daemon, String),
     BecameLeader(Term),
     LostLeadership,
--- a/crates/election/src/replica.rs
+++ b/crates/election/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the group: its state, its roles, and the calls of its host.
+//! One replica of the group: its state, its roles, and the functions its host calls.
 mod bootstrapping;
 mod following;
 mod leading;
@@ -8,63 +8,65 @@
 use crate::prelude::*;
 use crate::progress::Progress;
 
-/// What a replica is doing.
+/// The current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Told to bootstrap the group; waits for the other founding replicas.
+    /// Has an empty disk and is configured to bootstrap the group: waits for the other seeds.
     Bootstrapping,
-    /// Holds no vote: its data directory is not in the configuration.
+    /// Not a voter: its data directory is not in the configuration.
     Learner,
     Follower,
-    /// Asks whether it would be elected, without raising its term.
+    /// Asks the voters whether they would elect it, without raising its term.
     PreCandidate,
     Candidate,
     Leader,
 }
 
-/// Why a proposal was not taken.
+/// The proposal was refused because this replica is not an active leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader;
 
-/// What a replica is started with.
+/// The settings that a replica starts with.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     pub id: Daemon,
-    /// Where other replicas reach this one.
+    /// The address at which other replicas reach this one.
     pub address: String,
     pub zone: Zone,
-    /// Replicas to ask first, from the settings; may be out of date.
+    /// Replicas to contact first; this list may be out of date.
     pub seeds: Vec<Daemon>,
-    /// The operator's explicit order to bootstrap a group from the seeds.
+    /// Whether the operator asked to bootstrap a new group from the seeds.
     pub bootstrap: bool,
     pub timing: Timing,
     pub policy: MembershipPolicy,
     pub random_seed: u64,
 }
 
-/// Between two announcements of a replica that hears no leader, in heartbeats.
-const HEARTBEATS_PER_JOIN: u64 = 2;
-/// Between two heartbeats to a learner, in heartbeats to voters.
+/// Heartbeat intervals between two `Join` or `Leave` messages of a replica.
+const HEARTBEATS_PER_ANNOUNCEMENT: u64 = 2;
+/// A learner gets one heartbeat for this many heartbeats to voters.
 const HEARTBEATS_PER_LEARNER: u64 = 3;
-/// So many learners get entries or a snapshot at one time.
-const LEARNERS_AT_ONCE: usize = 4;
-/// Entries sent in one request at most.
-const ENTRIES_PER_REQUEST: usize = 256;
-/// A learner that has not answered for this long is followed no more.
-const LEARNER_FORGOTTEN_AFTER: Span = Span::secs(30);
-/// How long a voter that stops waits to be replaced.
-const LEAVE_WITHIN: Span = Span::secs(3);
-/// How long a leader that stops waits to be replaced before it transfers.
-const LEADER_LEAVES_WITHIN: Span = Span::millis(1500);
-/// A replica that said it stops is taken at its word for this long.
-const LEAVE_REMEMBERED: Span = Span::secs(5);
+/// Learners that may have unanswered entries or snapshots at the same time.
+const MAX_LEARNERS_IN_FLIGHT: usize = 4;
+const MAX_ENTRIES_PER_REQUEST: usize = 256;
+/// The leader stops tracking a learner that has not answered for this long.
+const LEARNER_SILENCE_LIMIT: Span = Span::secs(30);
+/// How long a voter that is about to stop waits to be replaced.
+const LEAVE_TIMEOUT: Span = Span::secs(3);
+/// How long a leader that is about to stop waits to be replaced before it transfers leadership.
+const LEADER_LEAVE_TIMEOUT: Span = Span::millis(1500);
+/// How long the leader remembers that a replica is about to stop.
+const LEAVE_REQUEST_VALID_FOR: Span = Span::secs(5);
 
-/// Invariants: `applied <= commit <= last index`; `persisted <= issued`; a
-/// message is sent only when everything issued before it is durable.
+/// One replica of the group.
+///
+/// Invariants: `applied_index <= commit_index <= last index`;
+/// `last_persisted_write <= last_issued_write`; a message is sent only when
+/// every write issued before it is durable.
 #[derive(Clone)]
 pub struct Replica<C> {
     settings: ReplicaSettings,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
     state: HardState<C>,
     /// The latest configuration in the log and the index of its entry.
     configuration: Configuration,
@@ -72,47 +74,48 @@
     role: Role,
     leader: Option<Daemon>,
     commit_index: u64,
-    applied: u64,
-    /// When a leader of the current term was last heard.
-    heard: Time,
-    election_due: Time,
-    heartbeat_due: Time,
-    heartbeats: u64,
-    join_due: Time,
-    elected: Time,
+    applied_index: u64,
+    /// When the last message of a leader of the current term arrived.
+    leader_heard_at: Time,
+    election_deadline: Time,
+    next_heartbeat_at: Time,
+    heartbeat_rounds: u64,
+    next_announcement_at: Time,
+    elected_at: Time,
     votes: BTreeMap<Daemon, Mark>,
     progress: BTreeMap<Daemon, Progress>,
-    founders: BTreeMap<Daemon, Voter>,
-    /// Hosts that are to be taken away: their replicas must not be voters.
-    unwanted_hosts: BTreeSet<String>,
-    /// The leader of this term said that it leaves: the term no longer holds
-    /// votes back. As leader: that it said so and proposes nothing more.
-    transferred: Option<Term>,
-    /// This replica was told to stop, and since when.
-    leaving: Option<Time>,
-    /// The leader told that waiting for a replacement gains nothing.
+    discovered_peers: BTreeMap<Daemon, Voter>,
+    /// Hosts that are being retired; replicas on them must not be voters.
+    excluded_hosts: BTreeSet<String>,
+    /// The term whose leader gave up leadership. On other replicas the recent
+    /// contact with that leader no longer prevents votes; on the leader itself
+    /// it prevents further proposals.
+    transferred_term: Option<Term>,
+    /// When this replica was told to stop.
+    leaving_since: Option<Time>,
+    /// The leader answered that waiting for a replacement is not necessary.
     leave_accepted: bool,
-    issued: u64,
-    persisted: u64,
+    last_issued_write: u64,
+    last_persisted_write: u64,
     dirty: bool,
-    /// The last entry known to be durable here.
-    durable: u64,
-    /// Numbers of writes under way and the last entry that each covers.
-    writes: VecDeque<(u64, u64)>,
-    /// Messages held back until the write they depend on is durable.
-    held: VecDeque<(Option<u64>, Daemon, Message<C>)>,
+    /// Index of the last entry that is durable on this replica's disk.
+    durable_index: u64,
+    /// Writes that are not durable yet: the number and the last index of each.
+    pending_writes: VecDeque<(u64, u64)>,
+    /// Messages not yet sent, each with the write that has to be durable first.
+    held_messages: VecDeque<(Option<u64>, Daemon, Message<C>)>,
     actions: Vec<Action<C>>,
 }
 
 impl<C: Clone + PartialEq> Replica<C> {
-    /// Starts from what was read from disk.
+    /// Starts a replica from the state that was read from disk.
     pub fn new(settings: ReplicaSettings, state: HardState<C>, now: Time) -> Replica<C> {
         let state = state.upgraded();
         let (configuration_index, configuration) = state.configuration_at(state.last_index());
-        let (configuration, snapshot_index, durable) = (configuration.clone(), state.snapshot.index, state.last_index());
-        let founding = !state.initialized && settings.bootstrap && settings.seeds.contains(&settings.id);
+        let (configuration, snapshot_index, durable_index) = (configuration.clone(), state.snapshot.index, state.last_index());
+        let must_bootstrap = !state.initialized && settings.bootstrap && settings.seeds.contains(&settings.id);
         let mut replica = Replica {
-            random: fastrand::Rng::with_seed(settings.random_seed),
+            rng: fastrand::Rng::with_seed(settings.random_seed),
             settings,
             state,
             configuration,
@@ -120,32 +123,32 @@
             role: Role::Bootstrapping,
             leader: None,
             commit_index: snapshot_index,
-            applied: snapshot_index,
-            heard: now,
-            election_due: now,
-            heartbeat_due: now,
-            heartbeats: 0,
-            join_due: now,
-            elected: now,
+            applied_index: snapshot_index,
+            leader_heard_at: now,
+            election_deadline: now,
+            next_heartbeat_at: now,
+            heartbeat_rounds: 0,
+            next_announcement_at: now,
+            elected_at: now,
             votes: BTreeMap::new(),
             progress: BTreeMap::new(),
-            founders: BTreeMap::new(),
-            unwanted_hosts: BTreeSet::new(),
-            transferred: None,
-            leaving: None,
+            discovered_peers: BTreeMap::new(),
+            excluded_hosts: BTreeSet::new(),
+            transferred_term: None,
+            leaving_since: None,
             leave_accepted: false,
-            issued: 0,
-            persisted: 0,
+            last_issued_write: 0,
+            last_persisted_write: 0,
             dirty: false,
-            durable,
-            writes: VecDeque::new(),
-            held: VecDeque::new(),
+            durable_index,
+            pending_writes: VecDeque::new(),
+            held_messages: VecDeque::new(),
             actions: Vec::new(),
         };
-        if !founding {
-            replica.role = replica.resting_role();
+        if !must_bootstrap {
+            replica.role = replica.passive_role();
         }
-        replica.election_due = now + replica.random_election_timeout();
+        replica.election_deadline = now + replica.random_election_timeout();
         replica
     }
 
@@ -158,25 +161,25 @@
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
-    /// The configuration in force here: the latest in the log.
+    /// The configuration in force: the latest one in the log, committed or not.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
-    /// The index of the entry that put the configuration in force.
+    /// The index of the entry that contains the configuration in force.
     pub fn configuration_index(&self) -> u64 {
         self.configuration_index
     }
-    /// The snapshot this replica started from or installed last.
+    /// The latest snapshot: loaded at the start, installed or created since.
     pub fn snapshot(&self) -> &Snapshot {
         &self.state.snapshot
     }
-    /// The leader, while it is heard.
+    /// The current leader, if there was recent contact with it.
     pub fn leader(&self, now: Time) -> Option<&Daemon> {
-        let heard = self.role == Role::Leader || now.since(self.heard) < self.settings.timing.connected_within();
-        self.leader.as_ref().filter(|_| heard)
+        let is_current = self.role == Role::Leader || now.since(self.leader_heard_at) < self.settings.timing.disconnected_after();
+        self.leader.as_ref().filter(|_| is_current)
     }
 
-    fn me(&self) -> &Daemon {
+    fn own_id(&self) -> &Daemon {
         &self.settings.id
     }
     fn is_voter(&self) -> bool {
@@ -187,15 +190,16 @@
     }
     fn random_election_timeout(&mut self) -> Span {
         let timeout = self.settings.timing.election_timeout.0;
-        Span(timeout + self.random.u64(0..timeout))
+        Span(timeout + self.rng.u64(0..timeout))
     }
-    /// Until votes that were not granted are asked for again: short, as there
-    /// is no leader meanwhile, and random, so that two candidates part.
-    fn random_campaign_pause(&mut self) -> Span {
+    /// The delay before an unsuccessful campaign is repeated: short, because
+    /// there is no leader meanwhile, and random, so that two candidates do not
+    /// campaign at the same time again.
+    fn random_campaign_retry_delay(&mut self) -> Span {
         let timeout = self.settings.timing.election_timeout.0;
-        Span(timeout / 6 + self.random.u64(0..timeout / 2))
+        Span(timeout / 6 + self.rng.u64(0..timeout / 2))
     }
-    fn resting_role(&self) -> Role {
+    fn passive_role(&self) -> Role {
         if self.is_voter() {
             Role::Follower
         } else {
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Every change of role passes here.
+    /// Changes the role. Nothing else does, except `new`.
     fn become_role(&mut self, role: Role, now: Time) {
         if self.role == role {
             return;
@@ -216,16 +220,16 @@
             Role::Leader => self.begin_term(now),
             Role::Follower | Role::Learner => {
                 self.progress.clear();
-                self.election_due = now + self.random_election_timeout();
+                self.election_deadline = now + self.random_election_timeout();
             }
-            Role::PreCandidate | Role::Candidate => self.election_due = now + self.random_election_timeout(),
+            Role::PreCandidate | Role::Candidate => self.election_deadline = now + self.random_election_timeout(),
             Role::Bootstrapping => {}
         }
     }
 
-    /// Steps back to the role that the configuration gives.
-    fn rest(&mut self, now: Time) {
-        let role = self.resting_role();
+    /// Becomes a follower, or a learner if this replica is not a voter.
+    fn become_passive(&mut self, now: Time) {
+        let role = self.passive_role();
         self.become_role(role, now);
     }
 
@@ -235,7 +239,7 @@
         self.refresh_configuration();
     }
 
-    /// Call after each change of the log.
+    /// Reads the configuration in force from the log. Called after each change of the log.
     fn refresh_configuration(&mut self) {
         let (index, configuration) = self.state.configuration_at(self.state.last_index());
         self.configuration_index = index;
@@ -246,42 +250,42 @@
     }
 
     fn send(&mut self, to: Daemon, message: Message<C>) {
-        self.held.push_back((None, to, message));
+        self.held_messages.push_back((None, to, message));
     }
 
-    /// Ends a step: issues a write if something changed and releases the
-    /// messages that wait for nothing.
-    fn finish(&mut self) -> Vec<Action<C>> {
+    /// Ends a step: issues a write if the state changed, and sends the messages
+    /// whose writes are durable.
+    fn finish_step(&mut self) -> Vec<Action<C>> {
         if self.dirty {
             self.dirty = false;
-            self.issued += 1;
-            self.writes.push_back((self.issued, self.state.last_index()));
-            self.actions.push(Action::Persist(self.issued, self.state.clone()));
+            self.last_issued_write += 1;
+            self.pending_writes.push_back((self.last_issued_write, self.state.last_index()));
+            self.actions.push(Action::Persist(self.last_issued_write, self.state.clone()));
         }
-        for (write, _, _) in self.held.iter_mut().filter(|held| held.0.is_none()) {
-            *write = Some(self.issued);
+        for (write, _, _) in self.held_messages.iter_mut().filter(|message| message.0.is_none()) {
+            *write = Some(self.last_issued_write);
         }
-        while self.held.front().is_some_and(|held| held.0 <= Some(self.persisted)) {
-            let Some((_, to, message)) = self.held.pop_front() else { break };
+        while self.held_messages.front().is_some_and(|message| message.0 <= Some(self.last_persisted_write)) {
+            let Some((_, to, message)) = self.held_messages.pop_front() else { break };
             self.actions.push(Action::Send(to, message));
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// The host made write `number`, and all before it, durable.
+    /// Called by the host when write `number` and all before it are durable.
     pub fn persisted(&mut self, number: u64, now: Time) -> Vec<Action<C>> {
-        self.persisted = self.persisted.max(number);
-        while self.writes.front().is_some_and(|write| write.0 <= number) {
-            let Some((_, last_index)) = self.writes.pop_front() else { break };
-            self.durable = last_index;
+        self.last_persisted_write = self.last_persisted_write.max(number);
+        while self.pending_writes.front().is_some_and(|write| write.0 <= number) {
+            let Some((_, last_index)) = self.pending_writes.pop_front() else { break };
+            self.durable_index = last_index;
         }
         if self.role == Role::Leader {
             self.advance_commit(now);
         }
-        self.finish()
+        self.finish_step()
     }
 
-    /// Appends a command of the state machine above.
+    /// Appends a command to the log; returns the index and term of its entry.
     pub fn propose(&mut self, command: C, now: Time) -> Result<(u64, Term, Vec<Action<C>>), NotLeader> {
         if !self.is_active_leader(now) {
             return Err(NotLeader);
@@ -289,37 +293,37 @@
         self.append_entry(Command::Apply(command));
         self.replicate(now);
         let (index, term) = (self.state.last_index(), self.state.term);
-        Ok((index, term, self.finish()))
+        Ok((index, term, self.finish_step()))
     }
 
-    /// Replaces everything applied by a snapshot once the log is long.
+    /// Replaces the applied entries by a snapshot with `data` once the log is long enough.
     pub fn compact(&mut self, data: impl FnOnce() -> Vec<u8>) -> Vec<Action<C>> {
-        let count = (self.applied - self.state.snapshot.index) as usize;
+        let count = (self.applied_index - self.state.snapshot.index) as usize;
         if count < self.settings.timing.entries_before_snapshot {
             return Vec::new();
         }
-        let configuration = self.state.configuration_at(self.applied).1.clone();
-        let term = self.state.term_at(self.applied).unwrap_or_default();
+        let configuration = self.state.configuration_at(self.applied_index).1.clone();
+        let term = self.state.term_at(self.applied_index).unwrap_or_default();
         self.state.log.drain(..count);
-        self.state.snapshot = Snapshot { index: self.applied, term, configuration, data: data().into() };
+        self.state.snapshot = Snapshot { index: self.applied_index, term, configuration, data: data().into() };
         self.dirty = true;
         self.refresh_configuration();
-        self.finish()
+        self.finish_step()
     }
 
-    /// A clock event; call it at least twice in each heartbeat.
+    /// Handles timeouts. Call it at least twice per heartbeat interval.
     pub fn tick(&mut self, now: Time) -> Vec<Action<C>> {
         match self.role {
             Role::Bootstrapping => self.announce_bootstrap(now),
-            Role::Follower | Role::PreCandidate | Role::Candidate if now >= self.election_due => self.campaign(true, now),
+            Role::Follower | Role::PreCandidate | Role::Candidate if now >= self.election_deadline => self.campaign(true, now),
             Role::Leader => self.tick_leader(now),
             _ => {}
         }
         self.announce_membership(now);
-        self.finish()
+        self.finish_step()
     }
 
-    /// Takes a message of another replica.
+    /// Handles a message of another replica.
     pub fn receive(&mut self, from: Daemon, message: Message<C>, now: Time) -> Vec<Action<C>> {
         if from == self.settings.id {
             return Vec::new();
@@ -342,6 +346,6 @@
             Message::Leave { disk_id } => self.on_leave(from, disk_id, now),
             Message::LeaveAccepted { disk_id } => self.leave_accepted |= disk_id == self.state.disk_id,
         }
-        self.finish()
+        self.finish_step()
     }
 }
--- a/crates/election/src/replica/membership.rs
+++ b/crates/election/src/replica/membership.rs
@@ -1,54 +1,56 @@
 //! How replicas join and leave, and how the leader changes the voters.
 use super::*;
 use crate::configuration::Voters;
-use crate::membership_policy::{next_voters, Peer};
+use crate::membership_policy::{next_voters, PeerStatus};
 
 impl<C: Clone + PartialEq> Replica<C> {
-    /// Hosts that will be taken away: the leader moves votes off them.
+    /// Sets the hosts that are being retired; the leader replaces the voters on them.
     pub fn set_excluded_hosts(&mut self, hosts: BTreeSet<String>) {
-        self.unwanted_hosts = hosts;
+        self.excluded_hosts = hosts;
     }
 
-    /// Told to stop. A leader that can't be replaced transfers at once.
+    /// Begins a planned stop. A leader without a possible replacement transfers
+    /// leadership at once.
     pub fn leave(&mut self, now: Time) -> Vec<Action<C>> {
-        if self.leaving.is_none() {
-            self.leaving = Some(now);
-            self.join_due = now;
+        if self.leaving_since.is_none() {
+            self.leaving_since = Some(now);
+            self.next_announcement_at = now;
         }
-        if self.role == Role::Leader && !self.has_spare(now) {
+        if self.role == Role::Leader && !self.has_replacement(now) {
             self.begin_transfer(now);
         }
         self.announce_membership(now);
-        self.finish()
+        self.finish_step()
     }
 
-    /// Whether stopping now costs the group nothing that waiting would save:
-    /// other replicas hold its vote, or nobody can.
+    /// Whether this replica, which is leaving, can stop now: it has been
+    /// replaced as a voter, no replacement exists, or it has waited long enough.
     pub fn can_stop(&self, now: Time) -> bool {
-        let Some(since) = self.leaving else { return false };
+        let Some(since) = self.leaving_since else { return false };
         let replaced = !self.is_voter() && self.configuration_index <= self.commit_index;
-        let free = replaced || self.leave_accepted || self.role == Role::Bootstrapping;
-        let waited = now.since(since) >= LEAVE_WITHIN;
-        waited || (free && self.role != Role::Leader)
+        let needs_no_replacement = replaced || self.leave_accepted || self.role == Role::Bootstrapping;
+        let timed_out = now.since(since) >= LEAVE_TIMEOUT;
+        timed_out || (needs_no_replacement && self.role != Role::Leader)
     }
 
-    /// A replica that hears no leader announces itself; one that stops says so.
+    /// Sends `Join` to all known replicas if no leader is known, and `Leave` to
+    /// the leader if this replica is about to stop.
     pub(super) fn announce_membership(&mut self, now: Time) {
-        if now < self.join_due || matches!(self.role, Role::Leader | Role::Bootstrapping) {
+        if now < self.next_announcement_at || matches!(self.role, Role::Leader | Role::Bootstrapping) {
             return;
         }
-        self.join_due = now + self.settings.timing.heartbeat.times(HEARTBEATS_PER_JOIN);
-        match (self.leader(now).cloned(), self.leaving) {
+        self.next_announcement_at = now + self.settings.timing.heartbeat.times(HEARTBEATS_PER_ANNOUNCEMENT);
+        match (self.leader(now).cloned(), self.leaving_since) {
             (Some(leader), Some(_)) => {
                 let disk_id = self.state.disk_id;
                 self.send(leader, Message::Leave { disk_id });
             }
             (Some(_), None) => {}
-            (None, _) => self.announce_to_all(),
+            (None, _) => self.send_join_to_all(),
         }
     }
 
-    fn announce_to_all(&mut self) {
+    fn send_join_to_all(&mut self) {
         let mut contacts = self.configuration.voter_names();
         contacts.extend(self.settings.seeds.iter().cloned());
         contacts.remove(&self.settings.id);
@@ -68,10 +70,10 @@
             return;
         }
         self.actions.push(Action::SetPeerAddress(from.clone(), voter.address.clone()));
-        let next = self.state.last_index() + 1;
-        let progress = self.progress.entry(from.clone()).or_insert_with(|| Progress::new(next, now));
-        progress.announced = Some(voter);
-        progress.left = None;
+        let next_index = self.state.last_index() + 1;
+        let progress = self.progress.entry(from.clone()).or_insert_with(|| Progress::new(next_index, now));
+        progress.announced_voter = Some(voter);
+        progress.leave_requested_at = None;
         self.replicate_to(&from, now);
     }
 
@@ -94,50 +96,51 @@
             return;
         }
         if let Some(progress) = self.progress.get_mut(&from).filter(|p| p.disk_id == disk_id) {
-            progress.left = Some(now);
+            progress.leave_requested_at = Some(now);
         }
         self.change_membership(now);
-        // A change under way may be the one that replaces it, and a spare that
-        // lags a little will take its place in a moment.
+        // While a change is in progress the sender waits, since that change may
+        // replace it. It also waits if a replacement exists that has not caught up.
         let replaced = !self.configuration.is_voter(&from, disk_id);
-        if self.is_membership_stable() && (replaced || !self.has_spare(now)) {
+        if self.is_membership_stable() && (replaced || !self.has_replacement(now)) {
             self.send(from, Message::LeaveAccepted { disk_id });
         }
     }
 
-    /// Whether the latest configuration is committed and no change under way.
+    /// Whether the latest configuration is committed and not joint.
     pub fn is_membership_stable(&self) -> bool {
         !self.configuration.is_joint() && self.configuration_index <= self.commit_index
     }
 
-    /// Learners that are gone are followed no more.
-    pub(super) fn forget_learners(&mut self, now: Time) {
+    /// Stops tracking learners that have been silent for long.
+    pub(super) fn drop_silent_learners(&mut self, now: Time) {
         let voters = self.configuration.voter_names();
-        self.progress.retain(|daemon, progress| voters.contains(daemon) || progress.silent_for(now) < LEARNER_FORGOTTEN_AFTER);
+        self.progress.retain(|daemon, progress| voters.contains(daemon) || progress.silent_for(now) < LEARNER_SILENCE_LIMIT);
     }
 
-    /// Proposes the next configuration, when the policy wants another and the
-    /// latest one is committed.
+    /// Proposes the next configuration if the policy wants other voters and
+    /// the latest configuration is committed.
     pub(super) fn change_membership(&mut self, now: Time) {
         if !self.is_membership_stable() || !self.is_active_leader(now) {
             return;
         }
-        let peers = self.peers(now);
+        let peers = self.peer_statuses(now);
         let Some(voters) = next_voters(&self.configuration.voters, &peers, &self.settings.policy) else { return };
         let outgoing = Some(self.configuration.voters.clone());
         self.append_entry(Command::Configure(Configuration { voters, outgoing }));
-        self.follow_voters(now);
+        self.track_voters(now);
         self.replicate(now);
     }
 
-    /// Ends a change once its joint configuration is committed. A leader that
-    /// is no voter any more steps down when the end, too, is committed.
+    /// Proposes the final configuration of a change once its joint
+    /// configuration is committed. When that is committed too, a leader that
+    /// is no longer a voter transfers leadership.
     pub(super) fn complete_membership_change(&mut self, now: Time) {
         if self.role != Role::Leader || self.configuration_index > self.commit_index {
             return;
         }
         if self.configuration.is_joint() {
-            self.keep_as_spares();
+            self.remember_outgoing_voters();
             let voters = self.configuration.voters.clone();
             self.append_entry(Command::Configure(Configuration::simple(voters)));
             self.replicate(now);
@@ -146,58 +149,61 @@
         }
     }
 
-    /// Voters that a change leaves out hear this leader and never announce
-    /// themselves: what the configuration says of them is kept instead.
-    fn keep_as_spares(&mut self) {
+    /// Keeps the address and zone of voters that the change removes. They know
+    /// this leader, so they will not announce themselves, but they can become
+    /// voters again.
+    fn remember_outgoing_voters(&mut self) {
         for (daemon, voter) in self.configuration.outgoing.iter().flatten() {
             if let Some(progress) = self.progress.get_mut(daemon) {
-                progress.announced.get_or_insert_with(|| voter.clone());
+                progress.announced_voter.get_or_insert_with(|| voter.clone());
             }
         }
     }
 
-    /// Whether a replica outside the voters is connected and may stay.
-    fn has_spare(&self, now: Time) -> bool {
-        let spare = |(daemon, peer): (&Daemon, &Peer)| {
+    /// Whether a connected non-voter exists that may become a voter.
+    fn has_replacement(&self, now: Time) -> bool {
+        let is_replacement = |(daemon, peer): (&Daemon, &PeerStatus)| {
             let outside = !self.configuration.voters.contains_key(daemon);
-            outside && !peer.unwanted && peer.silent_for < self.settings.timing.connected_within()
+            outside && !peer.excluded && peer.silent_for < self.settings.timing.disconnected_after()
         };
-        self.peers(now).iter().any(spare)
+        self.peer_statuses(now).iter().any(is_replacement)
     }
 
-    /// The voters that answer this leader just now with the data directory that
-    /// counts, the leader among them.
+    /// The voters that are connected to this leader with the data directory
+    /// that the configuration names, including the leader itself.
     pub fn connected_voters(&self, now: Time) -> Vec<(Daemon, Voter)> {
-        let answers = |daemon: &Daemon, voter: &Voter| {
-            let progress =
-                self.progress.get(daemon).filter(|progress| progress.disk_id == voter.disk_id && progress.heard > Time(0));
-            progress.is_some_and(|progress| progress.silent_for(now) < self.settings.timing.connected_within())
+        let is_connected = |daemon: &Daemon, voter: &Voter| {
+            let progress = self
+                .progress
+                .get(daemon)
+                .filter(|progress| progress.disk_id == voter.disk_id && progress.last_acked_sent_at > Time(0));
+            progress.is_some_and(|progress| progress.silent_for(now) < self.settings.timing.disconnected_after())
         };
         let voters = self.configuration.voters.iter();
-        let present = voters.filter(|(daemon, voter)| **daemon == self.settings.id || answers(daemon, voter));
-        present.map(|(daemon, voter)| (daemon.clone(), voter.clone())).collect()
+        let connected = voters.filter(|(daemon, voter)| **daemon == self.settings.id || is_connected(daemon, voter));
+        connected.map(|(daemon, voter)| (daemon.clone(), voter.clone())).collect()
     }
 
-    fn peers(&self, now: Time) -> BTreeMap<Daemon, Peer> {
-        let mut peers: BTreeMap<Daemon, Peer> =
-            self.progress.iter().map(|(daemon, progress)| (daemon.clone(), self.peer(daemon, progress, now))).collect();
+    fn peer_statuses(&self, now: Time) -> BTreeMap<Daemon, PeerStatus> {
+        let mut peers: BTreeMap<Daemon, PeerStatus> =
+            self.progress.iter().map(|(daemon, progress)| (daemon.clone(), self.peer_status(daemon, progress, now))).collect();
         let voter = self.as_voter();
-        let unwanted = self.leaving.is_some() || self.unwanted_hosts.contains(voter.host());
-        let me = Peer { voter, silent_for: Span::ZERO, eligible: true, unwanted };
-        peers.insert(self.settings.id.clone(), me);
+        let excluded = self.leaving_since.is_some() || self.excluded_hosts.contains(voter.host());
+        let own_status = PeerStatus { voter, silent_for: Span::ZERO, eligible: true, excluded };
+        peers.insert(self.settings.id.clone(), own_status);
         peers
     }
 
-    fn peer(&self, daemon: &Daemon, progress: &Progress, now: Time) -> Peer {
+    fn peer_status(&self, daemon: &Daemon, progress: &Progress, now: Time) -> PeerStatus {
         let voters: &Voters = &self.configuration.voters;
-        let known = progress.announced.as_ref().or_else(|| voters.get(daemon)).cloned().unwrap_or_default();
+        let known = progress.announced_voter.as_ref().or_else(|| voters.get(daemon)).cloned().unwrap_or_default();
         let voter = Voter { disk_id: progress.disk_id, ..known };
         let silent_for = progress.silent_for(now);
-        let answers = progress.heard > Time(0) && silent_for < self.settings.timing.connected_within();
-        let caught_up = !progress.needs_snapshot && progress.match_index >= self.commit_index;
-        let reachable = !voter.address.is_empty() || voters.contains_key(daemon);
-        let leaves = progress.left.is_some_and(|at| now.since(at) < LEAVE_REMEMBERED);
-        let unwanted = leaves || self.unwanted_hosts.contains(voter.host());
-        Peer { eligible: answers && caught_up && reachable, voter, silent_for, unwanted }
+        let is_connected = progress.last_acked_sent_at > Time(0) && silent_for < self.settings.timing.disconnected_after();
+        let is_caught_up = !progress.needs_snapshot && progress.match_index >= self.commit_index;
+        let is_reachable = !voter.address.is_empty() || voters.contains_key(daemon);
+        let is_leaving = progress.leave_requested_at.is_some_and(|at| now.since(at) < LEAVE_REQUEST_VALID_FOR);
+        let excluded = is_leaving || self.excluded_hosts.contains(voter.host());
+        PeerStatus { eligible: is_connected && is_caught_up && is_reachable, voter, silent_for, excluded }
     }
 }
--- a/crates/election/src/timing.rs
+++ b/crates/election/src/timing.rs
@@ -1,18 +1,20 @@
-//! The intervals an election runs by.
+//! The intervals and timeouts of the election.
 use crate::prelude::*;
 
-/// Invariant: `heartbeat * 3 <= election_timeout`. The leader's own lease is
-/// the election timeout less the margin for clock drift, so it ends before any
-/// replica that heard the leader would vote for another.
+/// Timeouts of the election and the snapshot threshold.
+///
+/// Invariant: `heartbeat * 3 <= election_timeout`. The leader's lease is the
+/// election timeout minus a margin for clock drift, so it ends before any
+/// replica that answered the leader votes for another candidate.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between two heartbeats of the leader.
+    /// Time between two heartbeats of the leader.
     pub heartbeat: Span,
-    /// How long a replica that heard the leader votes for nobody else.
+    /// For this long after a message of the leader a replica votes for nobody else.
     pub election_timeout: Span,
     /// Clock rates differ by at most this percentage.
     pub drift_percent: u64,
-    /// Entries kept before a snapshot replaces them.
+    /// Applied entries that the log holds before a snapshot replaces them.
     pub entries_before_snapshot: usize,
 }
 
@@ -28,12 +30,12 @@
 }
 
 impl Timing {
-    /// The leader's lease, counted from when it sent the heartbeat.
+    /// The length of the leader's lease, counted from when it sent the heartbeat.
     pub fn leader_lease(&self) -> Span {
         self.election_timeout.percent(100 - 2 * self.drift_percent)
     }
-    /// A replica that answered within this is taken to be connected.
-    pub fn connected_within(&self) -> Span {
+    /// A replica that has been silent for this long is treated as disconnected.
+    pub fn disconnected_after(&self) -> Span {
         self.election_timeout.times(2)
     }
 }
--- a/crates/election/tests/election.rs
+++ b/crates/election/tests/election.rs
@@ -107,14 +107,14 @@
     state.initialized = true;
     state.log = (1..=5).map(entry).collect();
     let snapshot = Snapshot { index: 3, term: Term(2), ..Snapshot::default() };
-    state.install(snapshot.clone());
+    state.install_snapshot(snapshot.clone());
     assert_eq!(state.last_index(), 5);
     assert_eq!(state.entry(4), Some(&entry(4)));
     // A log that disagrees gives way as a whole.
     let mut other = HardState::empty(Mark(1));
     other.initialized = true;
     other.log = (1..=5).map(|n| Entry { term: Term(1), command: Command::Apply(n) }).collect();
-    other.install(snapshot);
+    other.install_snapshot(snapshot);
     assert_eq!(other.last_index(), 3);
 }
 
--- a/crates/election/tests/explorer/world/host.rs
+++ b/crates/election/tests/explorer/world/host.rs
@@ -59,7 +59,7 @@
                 }
                 self.node_mut(machine).applied.push((index, command));
             }
-            Action::InstallSnapshot(snapshot) => self.install(machine, &snapshot)?,
+            Action::InstallSnapshot(snapshot) => self.install_snapshot(machine, &snapshot)?,
             Action::BecameLeader(term) => {
                 let state = self.nodes[&machine].latest.clone();
                 Arc::make_mut(&mut self.ledger).on_leader(machine, term, &name(machine), &state)?;
@@ -69,7 +69,7 @@
         Ok(())
     }
 
-    pub(super) fn install(&mut self, machine: Machine, snapshot: &Snapshot) -> Result<(), Violation> {
+    pub(super) fn install_snapshot(&mut self, machine: Machine, snapshot: &Snapshot) -> Result<(), Violation> {
         self.ledger.on_snapshot(machine, snapshot)?;
         self.node_mut(machine).applied = ciborium::from_reader(snapshot.data.as_ref()).unwrap_or_default();
         Ok(())
