--- a/crates/election/tests/earlier_format.rs
+++ b/crates/election/tests/earlier_format.rs
@@ -1,7 +1,8 @@
-//! State that the version before wrote is read, with its members and changes.
+//! Hard state written in the earlier format can be read, including its members
+//! and membership changes.
 use dw_election::prelude::*;
 
-/// The earlier form, as that version declared it.
+/// The hard state as the previous version declared it.
 #[derive(Serialize)]
 struct EarlierState {
     mark: Mark,
@@ -66,7 +67,7 @@
     assert_eq!((index, configuration.voters.len()), (9, 2));
     let (index, configuration) = state.configuration_at(11);
     assert_eq!((index, configuration.voters[&daemon(2)].disk_id), (11, Mark(9)));
-    // What is written now is read back as it is.
+    // The current format is read back unchanged.
     let mut bytes = Vec::new();
     ciborium::into_writer(&state, &mut bytes).unwrap();
     let again: HardState<u32> = ciborium::from_reader(bytes.as_slice()).unwrap();
--- a/crates/election/tests/election.rs
+++ b/crates/election/tests/election.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn a_group_that_was_not_bootstrapped_elects_nobody_and_a_bootstrapped_one_elects_one() {
-    let mut none = Group::unfounded(1);
+    let mut not_bootstrapped = Group::empty(1);
     for number in 1..=3 {
-        none.start_empty(&name(number), false);
+        not_bootstrapped.start_empty(&name(number), false);
     }
-    none.run(10_000);
-    assert!(none.leader().is_none());
+    not_bootstrapped.run(10_000);
+    assert!(not_bootstrapped.leader().is_none());
     for seed in 1..50 {
         assert!(Group::new(seed).leader().is_some(), "seed {seed}");
     }
@@ -22,14 +22,14 @@
         assert!(group.propose(1));
         let old = group.leader().unwrap();
         for number in 1..=3 {
-            group.cut.insert((old.clone(), name(number)));
+            group.blocked_links.insert((old.clone(), name(number)));
         }
         group.propose(2);
         group.run(5_000);
         let new = group.leader().expect("a new leader");
         assert_ne!(new, old);
         assert!(group.propose(3));
-        group.cut.clear();
+        group.blocked_links.clear();
         group.run(3_000);
         assert!(group.propose(4));
         group.run(1_000);
@@ -48,8 +48,8 @@
         let other = (1..=3).map(name).find(|d| *d != lost && Some(d) != group.leader().as_ref()).unwrap();
         group.stop(&other);
         let disk_id = group.start_empty(&lost, true);
-        // One voter and one replica without its state are no quorum: nothing
-        // is committed, not even the change that would readmit it.
+        // One voter and one replica without its state form no quorum: nothing
+        // is committed, not even the change that would readmit the replica.
         let last = group.nodes.values().map(|node| node.replica.commit_index()).max();
         group.run(6_000);
         assert!(!group.propose(2), "seed {seed}: a lost disk counted");
@@ -60,7 +60,7 @@
         group.run(2_000);
         let replica = &group.nodes[&lost].replica;
         assert!(replica.configuration().is_voter(&lost, disk_id), "seed {seed}");
-        // Readmitted, it may even have been elected: its log is as good.
+        // After it was readmitted it may even have been elected, since its log is up to date.
         assert!(matches!(replica.role(), Role::Follower | Role::Leader), "seed {seed}: {:?}", replica.role());
         assert_eq!(group.voters(), (1..=3).map(name).collect::<Vec<_>>());
     }
@@ -78,7 +78,7 @@
     let leader = group.leader().unwrap();
     let actions = group.nodes.get_mut(&leader).unwrap().replica.compact(|| vec![9]);
     assert!(!actions.is_empty());
-    group.carry_out(&leader, actions);
+    group.execute(&leader, actions);
     group.start(&late, false);
     group.run(2_000);
     assert_eq!(group.nodes[&late].replica.commit_index(), group.nodes[&leader].replica.commit_index());
@@ -98,8 +98,9 @@
     assert!(again.is_empty(), "{again:?}");
 }
 
-/// A follower at index 5 is given a snapshot that ends at 3: what lies behind
-/// it was acknowledged, and the leader may have committed it by counting it.
+/// A follower whose log ends at index 5 installs a snapshot that ends at 3. It
+/// must keep entries 4 and 5: they were acknowledged, and the leader may have
+/// counted them to commit.
 #[test]
 fn installing_a_snapshot_keeps_acknowledged_entries_behind_it() {
     let entry = |command| Entry { term: Term(2), command: Command::Apply(command) };
@@ -110,7 +111,7 @@
     state.install_snapshot(snapshot.clone());
     assert_eq!(state.last_index(), 5);
     assert_eq!(state.entry(4), Some(&entry(4)));
-    // A log that disagrees gives way as a whole.
+    // A log that differs from the snapshot is dropped as a whole.
     let mut other = HardState::empty(Mark(1));
     other.initialized = true;
     other.log = (1..=5).map(|n| Entry { term: Term(1), command: Command::Apply(n) }).collect();
@@ -118,8 +119,8 @@
     assert_eq!(other.last_index(), 3);
 }
 
-/// A lagging follower: the leader compacts, sends the snapshot, and goes
-/// silent in the middle; all that was acknowledged is still there.
+/// A follower gets a snapshot from the leader that it does not need any more,
+/// and no further messages. It must keep all entries that it acknowledged.
 #[test]
 fn a_snapshot_that_arrives_twice_never_takes_entries_away() {
     let mut group = Group::new(11);
@@ -129,7 +130,7 @@
     group.run(500);
     let leader = group.leader().unwrap();
     let actions = group.nodes.get_mut(&leader).unwrap().replica.compact(|| vec![1]);
-    group.carry_out(&leader, actions);
+    group.execute(&leader, actions);
     assert!(group.propose(71));
     group.run(500);
     let follower = group.follower();
@@ -146,12 +147,13 @@
     };
     let now = group.now;
     let actions = group.nodes.get_mut(&follower).unwrap().replica.receive(leader, Message::Append(request), now);
-    group.carry_out(&follower, actions);
+    group.execute(&follower, actions);
     assert_eq!(group.disks[&follower].last_index(), before);
 }
 
-/// Of the two replicas left, one has the longer log and the other the later
-/// term: the first may win only in a term that it has to be told of.
+/// Of the two remaining replicas, one has the longer log and the other the
+/// later term. The first can only be elected in a term after that one, which it
+/// has to learn from the second.
 #[test]
 fn a_replica_with_the_longer_log_and_an_earlier_term_is_elected() {
     for seed in 1..50 {
--- a/crates/election/tests/explorer/ledger.rs
+++ b/crates/election/tests/explorer/invariants.rs
@@ -1,16 +1,16 @@
-//! What has happened in a world, as seen from outside, and the invariants
-//! that it is held to.
+//! Records the history of a world from outside the replicas and checks the
+//! safety invariants.
 use super::world::Machine;
 use dw_election::prelude::*;
 
-/// The fewest voters that bear one loss.
-const FEWEST_VOTERS: usize = 3;
+/// The smallest number of voters that tolerates one failure.
+const MIN_VOTERS: usize = 3;
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
     TwoLeadersInTerm { term: Term, machines: [Machine; 2] },
-    TwoReplicasMayAct { machines: Vec<Machine> },
+    TwoActiveLeaders { machines: Vec<Machine> },
     VotedTwice { term: Term, disk_id: Mark },
     ElectedWithoutQuorum { term: Term, machine: Machine },
     CommittedWithoutQuorum { index: u64, machine: Machine },
@@ -19,48 +19,48 @@
     DiskLostCommitted { index: u64, disk_id: Mark },
     SnapshotDiffers { index: u64, machine: Machine },
     TooFewVoters { index: u64, voters: usize },
-    LostMarkCountsAgain { index: u64, disk_id: Mark },
-    NoLeaderAfterHealing,
+    LostDiskIdReadmitted { index: u64, disk_id: Mark },
+    NoLeaderAfterRecovery,
     NoLeaderAfterOneMoreLoss { lost: Machine },
     AcknowledgedCommandLost { index: u64 },
 }
 
 impl Violation {
-    /// Whether something wrong was done; else something due did not happen.
-    pub fn is_of_safety(&self) -> bool {
-        !matches!(self, Violation::NoLeaderAfterHealing | Violation::NoLeaderAfterOneMoreLoss { .. })
+    /// Whether safety is violated; otherwise it is liveness.
+    pub fn is_safety_violation(&self) -> bool {
+        !matches!(self, Violation::NoLeaderAfterRecovery | Violation::NoLeaderAfterOneMoreLoss { .. })
     }
 }
 
-/// The record of one history.
+/// The record of one history, against which each new event is checked.
 #[derive(Clone, Default)]
-pub struct Ledger {
+pub struct InvariantChecker {
     leaders: BTreeMap<Term, Machine>,
-    /// Durable votes by the data directory that cast them.
+    /// Durable votes, by term and the data directory that cast them.
     votes: BTreeMap<(Term, Mark), Daemon>,
-    /// The data directories in which an entry was ever durable.
+    /// The data directories in which an entry was durable at any time.
     holders: BTreeMap<(u64, Term), BTreeSet<Mark>>,
-    /// The latest snapshot that was ever durable in a data directory.
-    covered: BTreeMap<Mark, u64>,
+    /// The index of the latest snapshot that was durable in a data directory.
+    snapshot_indexes: BTreeMap<Mark, u64>,
     pub committed: BTreeMap<u64, Entry<u32>>,
     /// The latest committed configuration.
     pub configuration: Configuration,
-    /// Marks of data directories that no longer exist.
-    pub lost_marks: BTreeSet<Mark>,
-    /// Lost marks that a committed configuration has given up.
-    retired_marks: BTreeSet<Mark>,
+    /// Ids of data directories that no longer exist.
+    pub lost_disk_ids: BTreeSet<Mark>,
+    /// Ids of lost data directories that a committed configuration no longer contains.
+    replaced_disk_ids: BTreeSet<Mark>,
 }
 
-impl Ledger {
-    /// The record of a group that begins with this configuration.
-    pub fn of(configuration: Configuration) -> Ledger {
-        Ledger { configuration, ..Ledger::default() }
+impl InvariantChecker {
+    /// The checker of a group that starts with this configuration.
+    pub fn starting_with(configuration: Configuration) -> InvariantChecker {
+        InvariantChecker { configuration, ..InvariantChecker::default() }
     }
 
-    /// A data directory that was taken for lost is there again.
-    pub fn on_return(&mut self, disk_id: Mark) {
-        self.lost_marks.remove(&disk_id);
-        self.retired_marks.remove(&disk_id);
+    /// A data directory that was recorded as lost exists again.
+    pub fn on_disk_returned(&mut self, disk_id: Mark) {
+        self.lost_disk_ids.remove(&disk_id);
+        self.replaced_disk_ids.remove(&disk_id);
     }
 
     pub fn last_committed(&self) -> u64 {
@@ -77,12 +77,14 @@
         commands.collect()
     }
 
-    /// Whether `state` has everything that was committed.
-    pub fn first_missing(&self, state: &HardState<u32>) -> Option<u64> {
-        let held = |index: u64, entry: &Entry<u32>| index <= state.snapshot.index || state.entry(index) == Some(entry);
-        self.committed.iter().find(|(index, entry)| !held(**index, entry)).map(|(index, _)| *index)
+    /// The index of the first committed entry that `state` lacks.
+    pub fn first_missing_committed(&self, state: &HardState<u32>) -> Option<u64> {
+        let is_held = |index: u64, entry: &Entry<u32>| index <= state.snapshot.index || state.entry(index) == Some(entry);
+        self.committed.iter().find(|(index, entry)| !is_held(**index, entry)).map(|(index, _)| *index)
     }
 
+    /// A state became durable: records its vote and entries, and checks that its
+    /// data directory casts one vote in a term.
     pub fn on_durable(&mut self, state: &HardState<u32>) -> Result<(), Violation> {
         if let Some(vote) = &state.vote {
             let earlier = self.votes.insert((state.term, state.disk_id), vote.clone());
@@ -90,19 +92,20 @@
                 return Err(Violation::VotedTwice { term: state.term, disk_id: state.disk_id });
             }
         }
-        let covered = self.covered.entry(state.disk_id).or_default();
-        *covered = state.snapshot.index.max(*covered);
+        let latest_snapshot = self.snapshot_indexes.entry(state.disk_id).or_default();
+        *latest_snapshot = state.snapshot.index.max(*latest_snapshot);
         for (index, entry) in (state.snapshot.index + 1..).zip(&state.log) {
             self.holders.entry((index, entry.term)).or_default().insert(state.disk_id);
         }
         Ok(())
     }
 
-    /// A data directory never loses a committed entry that it once held.
-    pub fn on_state(&self, state: &HardState<u32>) -> Result<(), Violation> {
+    /// A state is to be written: checks that it keeps every committed entry that
+    /// its data directory held before.
+    pub fn on_write_issued(&self, state: &HardState<u32>) -> Result<(), Violation> {
         for (index, entry) in self.committed.range(state.snapshot.index + 1..) {
-            let held = self.ever_held(*index, entry.term, state.disk_id);
-            if held && state.term_at(*index) != Some(entry.term) {
+            let is_held = self.ever_held(*index, entry.term, state.disk_id);
+            if is_held && state.term_at(*index) != Some(entry.term) {
                 return Err(Violation::DiskLostCommitted { index: *index, disk_id: state.disk_id });
             }
         }
@@ -110,22 +113,24 @@
     }
 
     fn ever_held(&self, index: u64, term: Term, disk_id: Mark) -> bool {
-        let in_log = self.holders.get(&(index, term)).is_some_and(|marks| marks.contains(&disk_id));
-        in_log || self.covered.get(&disk_id).is_some_and(|covered| *covered >= index)
+        let in_log = self.holders.get(&(index, term)).is_some_and(|disk_ids| disk_ids.contains(&disk_id));
+        in_log || self.snapshot_indexes.get(&disk_id).is_some_and(|latest| *latest >= index)
     }
 
-    /// Whether a quorum ever held this entry of `state`, whatever its term.
-    pub fn counted(&self, index: u64, state: &HardState<u32>) -> bool {
+    /// Whether a quorum has held this entry of `state` at any time, in whatever term.
+    pub fn was_held_by_quorum(&self, index: u64, state: &HardState<u32>) -> bool {
         let configuration = state.configuration_at(state.last_index()).1;
         let term = state.term_at(index);
         term.is_some_and(|term| configuration.has_quorum(|_, disk_id| self.ever_held(index, term, disk_id)))
     }
 
+    /// A replica became leader: checks that it is the only one in the term, holds
+    /// all committed entries and was elected by a quorum.
     pub fn on_leader(&mut self, machine: Machine, term: Term, daemon: &Daemon, state: &HardState<u32>) -> Result<(), Violation> {
         if let Some(other) = self.leaders.insert(term, machine) {
             return Err(Violation::TwoLeadersInTerm { term, machines: [other, machine] });
         }
-        if let Some(index) = self.first_missing(state) {
+        if let Some(index) = self.first_missing_committed(state) {
             return Err(Violation::LeaderLacksCommitted { index, machine });
         }
         let voted = |_: &Daemon, disk_id: Mark| self.votes.get(&(term, disk_id)) == Some(daemon);
@@ -135,7 +140,8 @@
         Ok(())
     }
 
-    /// A leader committed up to `index` while `configuration` was in force.
+    /// A leader committed entries up to `index` while `configuration` was in force:
+    /// checks that a quorum held them.
     pub fn on_leader_commit(
         &self,
         machine: Machine,
@@ -150,38 +156,40 @@
         Err(Violation::CommittedWithoutQuorum { index, machine })
     }
 
-    /// A replica learned that everything up to `index` is committed.
+    /// A replica knows that all entries up to `index` are committed: checks that
+    /// they equal those that others committed.
     pub fn on_commit(&mut self, machine: Machine, index: u64, state: &HardState<u32>) -> Result<(), Violation> {
         for index in state.snapshot.index + 1..=index {
             let Some(entry) = state.entry(index) else { break };
             match self.committed.get(&index) {
                 Some(committed) if committed == entry => {}
                 Some(_) => return Err(Violation::CommittedEntriesDiffer { index, machine }),
-                None => self.record(index, entry)?,
+                None => self.record_committed(index, entry)?,
             }
         }
         Ok(())
     }
 
-    fn record(&mut self, index: u64, entry: &Entry<u32>) -> Result<(), Violation> {
+    fn record_committed(&mut self, index: u64, entry: &Entry<u32>) -> Result<(), Violation> {
         self.committed.insert(index, entry.clone());
         let Command::Configure(configuration) = &entry.command else { return Ok(()) };
         let sets = std::iter::once(&configuration.voters).chain(&configuration.outgoing);
         let voters = sets.map(BTreeMap::len).min().unwrap_or(0);
-        if voters < FEWEST_VOTERS {
+        if voters < MIN_VOTERS {
             return Err(Violation::TooFewVoters { index, voters });
         }
-        let named: BTreeSet<Mark> = configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
-        if let Some(disk_id) = named.intersection(&self.retired_marks).next() {
-            return Err(Violation::LostMarkCountsAgain { index, disk_id: *disk_id });
+        let new_ids: BTreeSet<Mark> = configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
+        if let Some(disk_id) = new_ids.intersection(&self.replaced_disk_ids).next() {
+            return Err(Violation::LostDiskIdReadmitted { index, disk_id: *disk_id });
         }
-        let before: BTreeSet<Mark> = self.configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
-        let given_up = before.difference(&named).filter(|disk_id| self.lost_marks.contains(disk_id));
-        self.retired_marks.extend(given_up);
+        let old_ids: BTreeSet<Mark> = self.configuration.all_voters().map(|(_, voter)| voter.disk_id).collect();
+        let removed_lost_ids = old_ids.difference(&new_ids).filter(|disk_id| self.lost_disk_ids.contains(disk_id));
+        self.replaced_disk_ids.extend(removed_lost_ids);
         self.configuration = configuration.clone();
         Ok(())
     }
 
+    /// A replica installed a snapshot: checks that it contains the committed commands.
     pub fn on_snapshot(&self, machine: Machine, snapshot: &Snapshot) -> Result<(), Violation> {
         let applied: Vec<(u64, u32)> = ciborium::from_reader(snapshot.data.as_ref()).unwrap_or_default();
         if applied != self.commands(snapshot.index) {
--- a/crates/election/tests/explorer/mod.rs
+++ b/crates/election/tests/explorer/mod.rs
@@ -1,22 +1,22 @@
-//! A model checker for the election: real replicas in a small world whose
-//! every step is chosen from outside, watched by invariants.
+//! A model checker for the election: it runs real replicas in a simulated
+//! world, chooses every step and checks invariants after each.
 //!
-//! `world` holds the replicas, disks, messages and the clock; `step` says what
-//! can happen next; `ledger` records what happened and checks the invariants;
-//! `settle` checks liveness; `search` goes through the steps; `breakage` is the
-//! list of deliberate faults.
-// Each test file uses a part.
+//! `world` holds the replicas, disks, messages and the clock; `step` lists the
+//! possible steps; `invariants` records the history and checks safety;
+//! `liveness` checks that a group recovers; `search` explores the steps;
+//! `injected_fault` lists the faults that the checks have to detect.
+// Each test file uses only a part of this module.
 #![allow(dead_code, unused_imports)]
-pub mod breakage;
-pub mod ledger;
+pub mod injected_fault;
+pub mod invariants;
+pub mod liveness;
 pub mod search;
-pub mod settle;
 pub mod step;
 pub mod world;
 
-pub use breakage::Breakage;
-pub use ledger::{Ledger, Violation};
-pub use search::{search, walk, Bounds, Outcome};
-pub use settle::check_settled;
-pub use step::{Choice, Kind, Step};
+pub use injected_fault::InjectedFault;
+pub use invariants::{InvariantChecker, Violation};
+pub use liveness::check_liveness;
+pub use search::{random_walk, search, Bounds, SearchOutcome};
+pub use step::{Step, StepChoice, StepKind};
 pub use world::{Budget, Machine, Reductions, World};
--- a/crates/election/tests/explorer/search.rs
+++ b/crates/election/tests/explorer/search.rs
@@ -1,34 +1,35 @@
-//! Two ways through the steps of a world: all of them up to a depth, and long
-//! random walks.
-use super::step::WEIGHTS;
-use super::{check_settled, Choice, Kind, Step, Violation, World};
+//! Explores the steps of a world in two ways: breadth first through all of
+//! them, and by long random walks.
+use super::step::STEP_WEIGHTS;
+use super::{check_liveness, Step, StepChoice, StepKind, Violation, World};
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Where a search ends.
+/// The limits of a search.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub depth: usize,
     pub states: usize,
     pub time: Duration,
-    /// Liveness is checked from one state in this many; zero for none.
-    pub settle_every: usize,
+    /// Liveness is checked for one in this many states; never if 0.
+    pub liveness_interval: usize,
 }
 
-/// What a search or walk has seen.
+/// The result of a search or random walk.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub struct SearchOutcome {
     pub states: usize,
     pub steps: usize,
-    /// The depth up to which every state was visited.
+    /// The depth up to which all states were visited.
     pub complete_depth: usize,
-    /// Every state that the start leads to was visited.
+    /// Whether all states that can be reached from the start were visited.
     pub exhausted: bool,
-    pub settled: usize,
+    pub liveness_checks: usize,
+    /// The first violation, and the steps that lead to it.
     pub found: Option<(Violation, Vec<Step>)>,
 }
 
-/// How a state was first reached: from which, by which step.
+/// How a state was first reached: the previous state and the step from it.
 struct Origin {
     parent: usize,
     step: Option<Step>,
@@ -39,17 +40,17 @@
     end: Instant,
     visited: HashSet<u64>,
     origins: Vec<Origin>,
-    outcome: Outcome,
+    outcome: SearchOutcome,
 }
 
-/// Visits every state that `start` leads to, nearest first, within `bounds`.
-pub fn search(start: World, bounds: Bounds) -> Outcome {
+/// Visits the states that can be reached from `start` breadth first, within `bounds`.
+pub fn search(start: World, bounds: Bounds) -> SearchOutcome {
     let mut search = Search {
         bounds,
         end: Instant::now() + bounds.time,
         visited: HashSet::from([start.fingerprint()]),
         origins: vec![Origin { parent: 0, step: None }],
-        outcome: Outcome { states: 1, ..Outcome::default() },
+        outcome: SearchOutcome { states: 1, ..SearchOutcome::default() },
     };
     let mut frontier = vec![(0, start)];
     while search.outcome.complete_depth < bounds.depth && !frontier.is_empty() {
@@ -62,51 +63,52 @@
 }
 
 impl Search {
-    /// The states one step further; `None` when a bound or a violation ends
-    /// the search.
+    /// The unvisited states one step after the frontier; `None` when a limit or
+    /// a violation ends the search.
     fn expand(&mut self, frontier: Vec<(usize, World)>) -> Option<Vec<(usize, World)>> {
         let mut next = Vec::new();
-        for (place, world) in frontier {
+        for (index, world) in frontier {
             for step in world.steps() {
                 if self.outcome.states >= self.bounds.states || Instant::now() >= self.end {
                     return None;
                 }
-                next.extend(self.visit(place, &world, step)?);
+                next.extend(self.visit(index, &world, step)?);
             }
         }
         Some(next)
     }
 
-    /// Takes a step; the inner `None` is a state that is already known.
+    /// Takes a step from a state. The outer `None` means a violation, the inner
+    /// one a state that was already visited.
     fn visit(&mut self, parent: usize, world: &World, step: Step) -> Option<Option<(usize, World)>> {
         let mut world = world.clone();
         self.outcome.steps += 1;
-        let taken = world.take(step);
+        let taken = world.take_step(step);
         if taken.is_ok() && !self.visited.insert(world.fingerprint()) {
             return Some(None);
         }
-        let place = self.origins.len();
+        let index = self.origins.len();
         self.origins.push(Origin { parent, step: Some(step) });
         self.outcome.states += 1;
-        if let Err(violation) = taken.and_then(|()| self.check_settled(&world)) {
-            self.outcome.found = Some((violation, self.trace(place)));
+        if let Err(violation) = taken.and_then(|()| self.check_liveness(&world)) {
+            self.outcome.found = Some((violation, self.trace(index)));
             return None;
         }
-        Some(Some((place, world)))
+        Some(Some((index, world)))
     }
 
-    fn check_settled(&mut self, world: &World) -> Result<(), Violation> {
-        let every = self.bounds.settle_every;
+    fn check_liveness(&mut self, world: &World) -> Result<(), Violation> {
+        let every = self.bounds.liveness_interval;
         if every == 0 || !self.outcome.states.is_multiple_of(every) {
             return Ok(());
         }
-        self.outcome.settled += 1;
-        check_settled(world, self.outcome.settled)
+        self.outcome.liveness_checks += 1;
+        check_liveness(world, self.outcome.liveness_checks)
     }
 
-    fn trace(&self, place: usize) -> Vec<Step> {
+    fn trace(&self, index: usize) -> Vec<Step> {
         let mut steps = Vec::new();
-        let mut origin = &self.origins[place];
+        let mut origin = &self.origins[index];
         while let Some(step) = origin.step {
             steps.push(step);
             origin = &self.origins[origin.parent];
@@ -116,34 +118,34 @@
     }
 }
 
-/// One random history of `length` choices.
-pub fn walk(mut world: World, seed: u64, length: usize) -> Outcome {
-    let mut random = fastrand::Rng::with_seed(seed);
-    let mut outcome = Outcome::default();
+/// Runs one random history of `length` choices, then checks liveness.
+pub fn random_walk(mut world: World, seed: u64, length: usize) -> SearchOutcome {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut outcome = SearchOutcome::default();
     let mut trace = Vec::new();
     for _ in 0..length {
-        let choice = Choice { kind: random_kind(&mut random), selector: random.u16(..) };
+        let choice = StepChoice { kind: random_kind(&mut rng), selector: rng.u16(..) };
         let Some(step) = choice.step(&world) else { continue };
         trace.push(step);
         outcome.steps += 1;
-        if let Err(violation) = world.take(step) {
+        if let Err(violation) = world.take_step(step) {
             outcome.found = Some((violation, trace));
             return outcome;
         }
     }
-    outcome.settled = 1;
-    outcome.found = check_settled(&world, seed as usize).err().map(|violation| (violation, trace));
+    outcome.liveness_checks = 1;
+    outcome.found = check_liveness(&world, seed as usize).err().map(|violation| (violation, trace));
     outcome
 }
 
-fn random_kind(random: &mut fastrand::Rng) -> Kind {
-    let total: u32 = WEIGHTS.iter().map(|(weight, _)| weight).sum();
-    let mut left = random.u32(0..total);
-    for (weight, kind) in WEIGHTS {
-        if left < weight {
+fn random_kind(rng: &mut fastrand::Rng) -> StepKind {
+    let total: u32 = STEP_WEIGHTS.iter().map(|(weight, _)| weight).sum();
+    let mut remaining = rng.u32(0..total);
+    for (weight, kind) in STEP_WEIGHTS {
+        if remaining < weight {
             return kind;
         }
-        left -= weight;
+        remaining -= weight;
     }
-    Kind::Deliver
+    StepKind::Deliver
 }
--- a/crates/election/tests/explorer/step.rs
+++ b/crates/election/tests/explorer/step.rs
@@ -1,48 +1,50 @@
-//! What can happen next in a world.
+//! The steps that are possible in a world.
 use super::world::{Machine, World};
 
-/// One event. Messages are numbered by their place among those pending.
+/// One event. A message is given by its position in the list of pending messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     Deliver(usize),
-    Lose(usize),
-    Double(usize),
-    /// All writes of a replica that are under way become durable.
+    Drop(usize),
+    Duplicate(usize),
+    /// All pending writes of a replica become durable.
     Persist(Machine),
-    /// The clock goes on by one heartbeat; only this replica notices.
+    /// The clock advances by one heartbeat interval; only this replica gets a tick.
     Heartbeat(Machine),
-    /// The clock goes on past every election timeout; only this one notices.
+    /// The clock advances past every election timeout; only this replica gets a tick.
     Timeout(Machine),
-    /// The process ends; writes under way are lost.
+    /// The process ends and pending writes are lost.
     Crash(Machine),
-    /// The process ends right after its writes reached the disk.
+    /// The process ends right after its pending writes became durable.
     CrashAfterWrite(Machine),
     Restart(Machine),
-    /// The disk is lost and the replica starts again with an empty one.
+    /// The disk is lost, and the replica restarts with an empty one.
     Wipe(Machine),
-    /// The machine is gone for good.
+    /// The machine is removed together with its disk.
     Remove(Machine),
-    /// A new machine takes the place of one that was removed.
-    Replace,
-    /// A machine that was removed is back with the disk it had.
-    Return(Machine),
+    /// A new machine replaces a removed one.
+    AddReplacement,
+    /// A removed machine comes back with its disk.
+    ReturnRemoved(Machine),
+    /// Messages from and to the machine are lost.
     Isolate(Machine),
-    /// It hears the others, and they do not hear it.
-    Mute(Machine),
-    /// The others hear it, and it does not hear them.
-    Deafen(Machine),
-    Heal(Machine),
+    /// Messages from the machine are lost; messages to it arrive.
+    BlockOutbound(Machine),
+    /// Messages to the machine are lost; messages from it arrive.
+    BlockInbound(Machine),
+    /// Messages from and to the machine arrive again.
+    Reconnect(Machine),
     Propose(Machine),
     Compact(Machine),
     Leave(Machine),
 }
 
-/// The kind of a step, for choices made before the world is known.
+/// The kind of a step, for choices that do not depend on the state of the world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum StepKind {
     Deliver,
-    Lose,
-    Double,
+    Drop,
+    Duplicate,
     Persist,
     Heartbeat,
     Timeout,
@@ -51,80 +53,80 @@
     Restart,
     Wipe,
     Remove,
-    Replace,
-    Return,
+    AddReplacement,
+    ReturnRemoved,
     Isolate,
-    Mute,
-    Deafen,
-    Heal,
+    BlockOutbound,
+    BlockInbound,
+    Reconnect,
     Propose,
     Compact,
     Leave,
 }
 
-/// Every kind with its weight in random histories.
-pub const WEIGHTS: [(u32, Kind); 20] = [
-    (100, Kind::Deliver),
-    (4, Kind::Lose),
-    (4, Kind::Double),
-    (50, Kind::Persist),
-    (24, Kind::Heartbeat),
-    (4, Kind::Timeout),
-    (3, Kind::Crash),
-    (2, Kind::CrashAfterWrite),
-    (8, Kind::Restart),
-    (3, Kind::Wipe),
-    (2, Kind::Remove),
-    (6, Kind::Replace),
-    (2, Kind::Return),
-    (2, Kind::Isolate),
-    (2, Kind::Mute),
-    (2, Kind::Deafen),
-    (6, Kind::Heal),
-    (10, Kind::Propose),
-    (4, Kind::Compact),
-    (1, Kind::Leave),
+/// All kinds, with their weights in random histories.
+pub const STEP_WEIGHTS: [(u32, StepKind); 20] = [
+    (100, StepKind::Deliver),
+    (4, StepKind::Drop),
+    (4, StepKind::Duplicate),
+    (50, StepKind::Persist),
+    (24, StepKind::Heartbeat),
+    (4, StepKind::Timeout),
+    (3, StepKind::Crash),
+    (2, StepKind::CrashAfterWrite),
+    (8, StepKind::Restart),
+    (3, StepKind::Wipe),
+    (2, StepKind::Remove),
+    (6, StepKind::AddReplacement),
+    (2, StepKind::ReturnRemoved),
+    (2, StepKind::Isolate),
+    (2, StepKind::BlockOutbound),
+    (2, StepKind::BlockInbound),
+    (6, StepKind::Reconnect),
+    (10, StepKind::Propose),
+    (4, StepKind::Compact),
+    (1, StepKind::Leave),
 ];
 
-/// A kind, and which of the possible steps of that kind.
+/// A kind of step, and a number that selects one of the possible steps of that kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Choice {
-    pub kind: Kind,
+pub struct StepChoice {
+    pub kind: StepKind,
     pub selector: u16,
 }
 
-impl Choice {
-    /// The step this choice means in `world`, if any of its kind is possible.
+impl StepChoice {
+    /// The selected step, if a step of the kind is possible in `world`.
     pub fn step(self, world: &World) -> Option<Step> {
         let possible: Vec<Step> = world.steps().into_iter().filter(|step| step.kind() == self.kind).collect();
-        let place = usize::from(self.selector).checked_rem(possible.len())?;
-        Some(possible[place])
+        let index = usize::from(self.selector).checked_rem(possible.len())?;
+        Some(possible[index])
     }
 }
 
 impl Step {
-    pub fn kind(self) -> Kind {
+    pub fn kind(self) -> StepKind {
         match self {
-            Step::Deliver(_) => Kind::Deliver,
-            Step::Lose(_) => Kind::Lose,
-            Step::Double(_) => Kind::Double,
-            Step::Persist(_) => Kind::Persist,
-            Step::Heartbeat(_) => Kind::Heartbeat,
-            Step::Timeout(_) => Kind::Timeout,
-            Step::Crash(_) => Kind::Crash,
-            Step::CrashAfterWrite(_) => Kind::CrashAfterWrite,
-            Step::Restart(_) => Kind::Restart,
-            Step::Wipe(_) => Kind::Wipe,
-            Step::Remove(_) => Kind::Remove,
-            Step::Replace => Kind::Replace,
-            Step::Return(_) => Kind::Return,
-            Step::Isolate(_) => Kind::Isolate,
-            Step::Mute(_) => Kind::Mute,
-            Step::Deafen(_) => Kind::Deafen,
-            Step::Heal(_) => Kind::Heal,
-            Step::Propose(_) => Kind::Propose,
-            Step::Compact(_) => Kind::Compact,
-            Step::Leave(_) => Kind::Leave,
+            Step::Deliver(_) => StepKind::Deliver,
+            Step::Drop(_) => StepKind::Drop,
+            Step::Duplicate(_) => StepKind::Duplicate,
+            Step::Persist(_) => StepKind::Persist,
+            Step::Heartbeat(_) => StepKind::Heartbeat,
+            Step::Timeout(_) => StepKind::Timeout,
+            Step::Crash(_) => StepKind::Crash,
+            Step::CrashAfterWrite(_) => StepKind::CrashAfterWrite,
+            Step::Restart(_) => StepKind::Restart,
+            Step::Wipe(_) => StepKind::Wipe,
+            Step::Remove(_) => StepKind::Remove,
+            Step::AddReplacement => StepKind::AddReplacement,
+            Step::ReturnRemoved(_) => StepKind::ReturnRemoved,
+            Step::Isolate(_) => StepKind::Isolate,
+            Step::BlockOutbound(_) => StepKind::BlockOutbound,
+            Step::BlockInbound(_) => StepKind::BlockInbound,
+            Step::Reconnect(_) => StepKind::Reconnect,
+            Step::Propose(_) => StepKind::Propose,
+            Step::Compact(_) => StepKind::Compact,
+            Step::Leave(_) => StepKind::Leave,
         }
     }
 }
--- a/crates/election/tests/harness/mod.rs
+++ b/crates/election/tests/harness/mod.rs
@@ -1,14 +1,15 @@
-//! Replicas, their disks and a network on simulated time. Messages arrive at
-//! once unless cut; a replica reaches only those whose address it was told.
+//! Replicas with their disks and a network, on simulated time. Messages arrive
+//! at once unless their link is blocked; a replica reaches only those whose
+//! address it knows.
 #![allow(dead_code)]
 pub use dw_election::prelude::*;
 
-/// Between two clock events.
-const STEP: Span = Span::millis(50);
+/// Time between two calls of `tick`.
+const TICK: Span = Span::millis(50);
 
 pub struct Node {
     pub replica: Replica<u32>,
-    /// Addresses by name, as the replica's host was told them.
+    /// The addresses that the replica's host knows, by name.
     addresses: BTreeMap<Daemon, String>,
     pub applied: Vec<u32>,
 }
@@ -17,19 +18,20 @@
     pub now: Time,
     pub nodes: BTreeMap<Daemon, Node>,
     pub disks: BTreeMap<Daemon, HardState<u32>>,
-    pub cut: BTreeSet<(Daemon, Daemon)>,
+    /// Links on which messages are lost, as sender and receiver.
+    pub blocked_links: BTreeSet<(Daemon, Daemon)>,
     pub seeds: Vec<Daemon>,
     pub policy: MembershipPolicy,
     random_seed: u64,
-    next_mark: u64,
+    next_disk_id: u64,
 }
 
 pub fn name(number: u64) -> Daemon {
     Daemon(format!("placement-{number}"))
 }
 
-/// Replicas stand in `zones` zones in turn; `placement-4` is where
-/// `placement-1` is, if there are three.
+/// The zone of a replica. Replicas are spread over `zones` zones in turn; with
+/// three zones `placement-4` is in the zone of `placement-1`.
 pub fn zone_of(daemon: &Daemon, zones: u64) -> Zone {
     let number: u64 = daemon.as_str().rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(1);
     Zone(format!("zone-{}", (number - 1) % zones + 1))
@@ -42,34 +44,35 @@
 impl Group {
     /// A group bootstrapped from three replicas, with a leader.
     pub fn new(random_seed: u64) -> Group {
-        let mut group = Group::unfounded(random_seed);
+        let mut group = Group::empty(random_seed);
         for number in 1..=3 {
             group.start_empty(&name(number), true);
         }
         group.run(5_000);
         group
     }
-    pub fn unfounded(random_seed: u64) -> Group {
+    /// A group without replicas.
+    pub fn empty(random_seed: u64) -> Group {
         Group {
             now: Time::millis(1),
             nodes: BTreeMap::new(),
             disks: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             seeds: (1..=3).map(name).collect(),
             policy: MembershipPolicy::default(),
             random_seed,
-            next_mark: random_seed * 1000 + 1,
+            next_disk_id: random_seed * 1000 + 1,
         }
     }
-    /// Starts a replica on an empty disk.
+    /// Starts a replica with an empty disk and returns the disk's id.
     pub fn start_empty(&mut self, daemon: &Daemon, bootstrap: bool) -> Mark {
-        let disk_id = Mark(self.next_mark);
-        self.next_mark += 1;
+        let disk_id = Mark(self.next_disk_id);
+        self.next_disk_id += 1;
         self.disks.insert(daemon.clone(), HardState::empty(disk_id));
         self.start(daemon, bootstrap);
         disk_id
     }
-    /// Starts a replica on the disk it has.
+    /// Starts a replica with its present disk.
     pub fn start(&mut self, daemon: &Daemon, bootstrap: bool) {
         let random_seed = self.random_seed ^ hash_of(daemon.as_str().as_bytes()) ^ self.now.0;
         let settings = ReplicaSettings {
@@ -90,27 +93,27 @@
     pub fn stop(&mut self, daemon: &Daemon) {
         self.nodes.remove(daemon);
     }
-    /// The machine and its disk are gone for good.
+    /// Removes the replica and its disk for good.
     pub fn remove(&mut self, daemon: &Daemon) {
         self.stop(daemon);
         self.disks.remove(daemon);
     }
     pub fn isolate(&mut self, daemon: &Daemon) {
         for other in self.nodes.keys() {
-            self.cut.insert((daemon.clone(), other.clone()));
-            self.cut.insert((other.clone(), daemon.clone()));
+            self.blocked_links.insert((daemon.clone(), other.clone()));
+            self.blocked_links.insert((other.clone(), daemon.clone()));
         }
     }
 
-    pub fn carry_out(&mut self, daemon: &Daemon, actions: Vec<Action<u32>>) {
+    pub fn execute(&mut self, daemon: &Daemon, actions: Vec<Action<u32>>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.deliver(daemon, to, message),
                 Action::Persist(number, state) => {
                     self.disks.insert(daemon.clone(), state);
                     if let Some(node) = self.nodes.get_mut(daemon) {
-                        let more = node.replica.persisted(number, self.now);
-                        self.carry_out(daemon, more);
+                        let actions = node.replica.persisted(number, self.now);
+                        self.execute(daemon, actions);
                     }
                 }
                 Action::Apply(_, _, command) => {
@@ -133,52 +136,53 @@
         }
     }
     fn deliver(&mut self, from: &Daemon, to: Daemon, message: Message<u32>) {
-        let known = self.nodes.get(from).is_some_and(|node| node.addresses.get(&to) == Some(&address(&to)));
-        if !known || self.cut.contains(&(from.clone(), to.clone())) {
+        let knows_address = self.nodes.get(from).is_some_and(|node| node.addresses.get(&to) == Some(&address(&to)));
+        if !knows_address || self.blocked_links.contains(&(from.clone(), to.clone())) {
             return;
         }
         let Some(node) = self.nodes.get_mut(&to) else { return };
-        // A frame names its sender's address.
+        // Each message carries its sender's address.
         node.addresses.insert(from.clone(), address(from));
-        let more = node.replica.receive(from.clone(), message, self.now);
-        self.carry_out(&to, more);
+        let actions = node.replica.receive(from.clone(), message, self.now);
+        self.execute(&to, actions);
     }
     pub fn run(&mut self, milliseconds: u64) {
-        for _ in 0..milliseconds / STEP.as_millis() {
-            self.now += STEP;
+        for _ in 0..milliseconds / TICK.as_millis() {
+            self.now += TICK;
             let names: Vec<Daemon> = self.nodes.keys().cloned().collect();
             for daemon in names {
                 let Some(node) = self.nodes.get_mut(&daemon) else { continue };
                 let actions = node.replica.tick(self.now);
-                self.carry_out(&daemon, actions);
+                self.execute(&daemon, actions);
             }
             self.leader();
         }
     }
-    /// The one replica that may act, if any; two are an error.
+    /// The active leader, if any. Panics if there are two.
     pub fn leader(&self) -> Option<Daemon> {
-        let acting = self.nodes.iter().filter(|(_, node)| node.replica.is_active_leader(self.now));
-        let acting: Vec<Daemon> = acting.map(|(daemon, _)| daemon.clone()).collect();
-        assert!(acting.len() <= 1, "two leaders may act: {acting:?}");
-        acting.into_iter().next()
+        let active_leaders = self.nodes.iter().filter(|(_, node)| node.replica.is_active_leader(self.now));
+        let active_leaders: Vec<Daemon> = active_leaders.map(|(daemon, _)| daemon.clone()).collect();
+        assert!(active_leaders.len() <= 1, "two leaders are active: {active_leaders:?}");
+        active_leaders.into_iter().next()
     }
-    /// A running replica that does not lead.
+    /// A running replica that is not the leader.
     pub fn follower(&self) -> Daemon {
         let leader = self.leader();
         self.nodes.keys().find(|daemon| Some(*daemon) != leader.as_ref()).cloned().expect("a follower")
     }
+    /// Proposes a command at the leader. Returns whether it was accepted.
     pub fn propose(&mut self, command: u32) -> bool {
         let Some(leader) = self.leader() else { return false };
-        let proposed = self.nodes.get_mut(&leader).expect("it runs").replica.propose(command, self.now);
+        let proposed = self.nodes.get_mut(&leader).expect("the leader is running").replica.propose(command, self.now);
         let Ok((_, _, actions)) = proposed else { return false };
-        self.carry_out(&leader, actions);
+        self.execute(&leader, actions);
         true
     }
-    /// The voters, as the leader's configuration names them.
+    /// The voters of the leader's configuration.
     pub fn voters(&self) -> Vec<Daemon> {
         let leader = self.leader().expect("a leader");
         let configuration = self.nodes[&leader].replica.configuration();
-        assert!(!configuration.is_joint(), "a change is still under way");
+        assert!(!configuration.is_joint(), "a membership change is still in progress");
         configuration.voters.keys().cloned().collect()
     }
     pub fn applied(&self, daemon: &Daemon) -> &[u32] {
--- a/crates/election/tests/membership.rs
+++ b/crates/election/tests/membership.rs
@@ -1,11 +1,11 @@
-//! Changes of the voters: replacement, growth, planned leave, and what the
-//! group bears right after each.
+//! Membership changes: replacement of voters, growth, planned stops, and the
+//! failures that the group tolerates right after each.
 mod harness;
 use harness::*;
 
-/// How long after its start a replacement has to carry the vote: the platform
-/// promises no further loss for a little over four seconds.
-const SYNCED_AFTER: u64 = 4_000;
+/// A replacement has to be a voter this long after its start: the platform
+/// guarantees no further loss for a little over four seconds.
+const REPLACEMENT_TIME_MS: u64 = 4_000;
 
 #[test]
 fn three_replacements_in_a_row_each_bear_another_loss_right_after() {
@@ -16,19 +16,19 @@
             assert!(group.propose(number as u32));
             group.remove(&lost);
             group.run(1_000);
-            // Settings name machines that ran when they were written.
+            // A new machine's settings list the machines that run when it is added.
             group.seeds = group.nodes.keys().cloned().collect();
             group.start_empty(&new, false);
-            group.run(SYNCED_AFTER);
-            assert!(group.voters().contains(&new), "seed {seed}: {new} carries no vote: {:?}", group.voters());
+            group.run(REPLACEMENT_TIME_MS);
+            assert!(group.voters().contains(&new), "seed {seed}: {new} is not a voter: {:?}", group.voters());
             assert!(!group.voters().contains(&lost), "seed {seed}");
-            // One more voter is lost for a while, leader or not.
+            // One more voter, the leader or not, is stopped for a while.
             let second = group.voters().into_iter().find(|d| (seed % 2 == 0) == (Some(d) == group.leader().as_ref())).unwrap();
             group.stop(&second);
             group.run(5_000);
-            assert!(group.propose(10 + number as u32), "seed {seed}: {second} lost after {new} came");
+            assert!(group.propose(10 + number as u32), "seed {seed}: no leader after {new} was added and {second} stopped");
             group.start(&second, false);
-            group.run(SYNCED_AFTER);
+            group.run(REPLACEMENT_TIME_MS);
         }
         group.run(1_000);
         for daemon in (4..=6).map(name) {
@@ -45,7 +45,7 @@
             assert!(group.propose(round));
             let wiped = name(u64::from(round) % 3 + 1);
             let disk_id = group.start_empty(&wiped, false);
-            group.run(SYNCED_AFTER);
+            group.run(REPLACEMENT_TIME_MS);
             let leader = group.leader().unwrap_or_else(|| panic!("seed {seed} round {round}: no leader"));
             assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, disk_id), "seed {seed} round {round}");
             assert_eq!(group.voters().len(), 3);
@@ -56,7 +56,7 @@
 #[test]
 fn a_group_that_must_bear_two_losses_grows_to_five_and_bears_them() {
     for seed in 1..20 {
-        let mut group = Group::unfounded(seed);
+        let mut group = Group::empty(seed);
         group.policy = MembershipPolicy::tolerating(2);
         for number in 1..=7 {
             group.start_empty(&name(number), true);
@@ -74,7 +74,7 @@
         group.run(4_000);
         assert!(group.propose(1), "seed {seed}");
         group.run(4_000);
-        assert_eq!(group.voters().len(), 5, "seed {seed}: spares take the seats");
+        assert_eq!(group.voters().len(), 5, "seed {seed}: learners become voters");
         assert!(!group.voters().contains(&leader) && !group.voters().contains(&other));
     }
 }
@@ -103,20 +103,20 @@
             let leaving = if leaving == name(4) { name(2) } else { leaving };
             let now = group.now;
             let actions = group.nodes.get_mut(&leaving).unwrap().replica.leave(now);
-            group.carry_out(&leaving, actions);
-            let mut waited = 0;
+            group.execute(&leaving, actions);
+            let mut waited_ms = 0;
             while !group.nodes[&leaving].replica.can_stop(group.now) {
                 group.run(50);
-                waited += 50;
-                assert!(waited <= 3_000, "seed {seed}");
+                waited_ms += 50;
+                assert!(waited_ms <= 3_000, "seed {seed}");
             }
             group.remove(&leaving);
             group.run(200);
-            // Right after, another loss: the group still has its majority.
+            // Another voter is lost right after: the group still has a majority.
             let second = group.nodes.keys().find(|d| **d != name(4)).cloned().unwrap();
             group.stop(&second);
             group.run(4_000);
-            assert!(group.propose(2), "seed {seed}, leader leaves: {leader_leaves}, waited {waited}");
+            assert!(group.propose(2), "seed {seed}, leader leaves: {leader_leaves}, waited {waited_ms} ms");
         }
     }
 }
@@ -127,7 +127,7 @@
     let leaving = group.follower();
     let now = group.now;
     let actions = group.nodes.get_mut(&leaving).unwrap().replica.leave(now);
-    group.carry_out(&leaving, actions);
+    group.execute(&leaving, actions);
     assert!(group.nodes[&leaving].replica.can_stop(group.now));
 }
 
@@ -140,20 +140,21 @@
         group.remove(&old);
         group.run(500);
         group.start_empty(&name(4), false);
-        group.run(SYNCED_AFTER + 2_000);
+        group.run(REPLACEMENT_TIME_MS + 2_000);
         let (leader, term) = (group.leader().unwrap(), group.nodes[&group.leader().unwrap()].replica.term());
-        // It comes back with its old disk, at its old address.
+        // The old voter comes back with its old disk and address.
         group.disks.insert(old.clone(), disk);
         group.start(&old, false);
         group.run(8_000);
-        assert_eq!(group.leader(), Some(leader.clone()), "seed {seed}: it unseated the leader");
-        assert_eq!(group.nodes[&leader].replica.term(), term, "seed {seed}: it raised the term");
+        assert_eq!(group.leader(), Some(leader.clone()), "seed {seed}: the old voter replaced the leader");
+        assert_eq!(group.nodes[&leader].replica.term(), term, "seed {seed}: the old voter raised the term");
         assert_eq!(group.nodes[&old].replica.role(), Role::Learner, "seed {seed}");
     }
 }
 
-/// Two voters and the spare are cut off from the old leader, which is then
-/// replaced; its lease is over long before, and after the cut it follows.
+/// The old leader is isolated from two voters and a learner, and replaced as a
+/// voter. Its lease expires long before that. When it is reconnected it follows
+/// the new leader.
 #[test]
 fn a_leader_that_was_cut_off_for_twenty_seconds_comes_back_as_a_learner() {
     for seed in 1..20 {
@@ -166,7 +167,7 @@
         group.run(20_000);
         assert!(group.propose(2), "seed {seed}");
         assert!(!group.nodes[&old].replica.is_active_leader(group.now));
-        group.cut.clear();
+        group.blocked_links.clear();
         group.run(6_000);
         assert!(group.propose(3));
         group.run(1_000);
@@ -175,8 +176,9 @@
     }
 }
 
-/// All founding machines are gone, the settings still name them, and power is
-/// lost everywhere: the configuration itself says where everyone is.
+/// All machines that bootstrapped the group are gone, the settings still list
+/// them as seeds, and all replicas restart at once. They reconnect through the
+/// addresses in the configuration.
 #[test]
 fn a_group_whose_seeds_are_all_gone_finds_itself_after_a_total_restart() {
     let mut group = Group::new(21);
@@ -187,7 +189,7 @@
             group.seeds = vec![name(3), name(2), name(5)];
         }
         group.start_empty(&name(number + 3), false);
-        group.run(SYNCED_AFTER);
+        group.run(REPLACEMENT_TIME_MS);
     }
     assert!(group.propose(1));
     group.run(500);
@@ -203,8 +205,8 @@
     assert_eq!(group.applied(&name(5)), [1, 2]);
 }
 
-/// The joint configuration reached the one voter that is left and not yet the
-/// learner that it makes a voter: the learner's vote has to count all the same.
+/// A joint configuration that makes a learner a voter has reached the one
+/// remaining voter but not the learner. The learner still has to grant its vote.
 #[test]
 fn a_learner_that_does_not_know_yet_that_it_votes_still_grants_its_vote() {
     let mut group = Group::new(2);
@@ -219,13 +221,13 @@
     assert!(granted, "{actions:?}");
 }
 
-/// An answer of a data directory that is gone arrives after one of the new.
+/// A response of a lost data directory arrives after one of the new directory.
 #[test]
 fn a_late_answer_of_a_lost_disk_does_not_count_again() {
     let mut group = Group::new(4);
     let leader = group.leader().unwrap();
     let wiped = group.follower();
-    let old_mark = group.disks[&wiped].disk_id;
+    let old_disk_id = group.disks[&wiped].disk_id;
     assert!(group.propose(1));
     let sent = group.now;
     group.run(500);
@@ -235,19 +237,20 @@
     let late = Message::AppendResponse {
         term,
         outcome: AppendOutcome::Accepted { match_index: 1_000 },
-        disk_id: old_mark,
+        disk_id: old_disk_id,
         sent_at: sent,
     };
     let now = group.now;
     let actions = group.nodes.get_mut(&leader).unwrap().replica.receive(wiped.clone(), late, now);
-    group.carry_out(&leader, actions);
+    group.execute(&leader, actions);
     group.run(2_000);
     assert_eq!(group.leader(), Some(leader.clone()));
     assert!(group.nodes[&leader].replica.configuration().is_voter(&wiped, disk_id));
 }
 
-/// A voter is replaced as it stops, and comes back with its disk while the
-/// same leader leads: it is the spare that takes the seat of the next one lost.
+/// A voter is replaced during its planned stop and comes back with its disk
+/// under the same leader. It has to become a voter again when the next voter is
+/// lost.
 #[test]
 fn a_replaced_voter_that_came_back_is_a_spare_for_the_next_loss() {
     for seed in 1..30 {
@@ -259,24 +262,25 @@
         let (replaced, lost) = (others.next().unwrap(), others.next().unwrap());
         let now = group.now;
         let actions = group.nodes.get_mut(&replaced).unwrap().replica.leave(now);
-        group.carry_out(&replaced, actions);
+        group.execute(&replaced, actions);
         group.run(1_000);
         assert!(!group.voters().contains(&replaced), "seed {seed}");
         group.stop(&replaced);
         group.start(&replaced, false);
         group.run(6_000);
         group.remove(&lost);
-        // No other replica may keep the zones apart.
+        // Possibly no replacement keeps the voters in different zones, so that the
+        // longer delay applies.
         group.run(12_000);
         assert!(group.voters().contains(&replaced), "seed {seed}: {:?}", group.voters());
         group.stop(&leader);
         group.run(5_000);
-        assert!(group.propose(1), "seed {seed}: one more loss is not borne");
+        assert!(group.propose(1), "seed {seed}: one more loss is not tolerated");
     }
 }
 
-/// Entries that were sent to learners by these actions, by learner.
-fn carried_to_learners(group: &Group, actions: &[Action<u32>]) -> Vec<Daemon> {
+/// The learners to which these actions send entries or a snapshot, one item for each message.
+fn learners_sent_entries(group: &Group, actions: &[Action<u32>]) -> Vec<Daemon> {
     let voters = group.voters();
     let learner = |action: &Action<u32>| match action {
         Action::Send(to, Message::Append(request)) => {
@@ -288,8 +292,9 @@
     actions.iter().filter_map(learner).collect()
 }
 
-/// With a replica on each of many machines, what a leader sends to all of them
-/// at once, and again before they could answer, would exceed its memory.
+/// If there is a learner on each of many machines, sending entries to all of
+/// them at once, and again before they could answer, would take more memory
+/// than the leader has.
 #[test]
 fn few_learners_are_sent_entries_at_one_time_and_all_get_them() {
     let mut group = Group::new(3);
@@ -304,7 +309,7 @@
     for learner in &learners {
         assert_eq!(group.applied(learner), [1], "{learner}");
     }
-    // Nobody hears what the leader sends from here on.
+    // From here on no message of the leader is delivered.
     let leader = group.leader().unwrap();
     let now = group.now;
     let replica = &mut group.nodes.get_mut(&leader).unwrap().replica;
@@ -316,9 +321,9 @@
         actions.extend(writes.into_iter().flat_map(|write| replica.persisted(write, at)));
         actions.extend(replica.tick(at));
     }
-    let sent = carried_to_learners(&group, &actions);
-    let different: BTreeSet<&Daemon> = sent.iter().collect();
+    let sent = learners_sent_entries(&group, &actions);
+    let distinct: BTreeSet<&Daemon> = sent.iter().collect();
     assert!(!sent.is_empty());
-    assert_eq!(sent.len(), different.len(), "the same learner twice before it could answer: {sent:?}");
+    assert_eq!(sent.len(), distinct.len(), "the same learner twice before it could answer: {sent:?}");
     assert!(sent.len() <= 4, "{} learners at one time", sent.len());
 }
