--- a/crates/election/src/membership_policy.rs
+++ b/crates/election/src/membership_policy.rs
@@ -60,6 +60,7 @@
     (plan.voters != *current).then_some(plan.voters)
 }
 
+/// The next set of voters while it is being worked out.
 struct VoterPlan<'a> {
     voters: Voters,
     peers: &'a BTreeMap<Daemon, PeerStatus>,
@@ -76,6 +77,7 @@
         self.voters.values().filter(|voter| voter.zone == *zone).count()
     }
 
+    /// Whether a zone has more voters than `max_voters_per_zone` allows.
     fn has_overfull_zone(&self) -> bool {
         let limit = max_voters_per_zone(self.voters.len());
         self.voters.values().any(|voter| self.voters_in_zone(&voter.zone) > limit)
@@ -102,6 +104,7 @@
         }
     }
 
+    /// Replaces voters that are excluded or have been silent for too long.
     fn replace_lost_voters(&mut self) {
         let lost: Vec<Daemon> = self.voters.keys().filter(|daemon| self.is_lost(daemon)).cloned().collect();
         for daemon in lost {
@@ -114,6 +117,8 @@
         peer.excluded || peer.silent_for >= self.policy.replace_after
     }
 
+    /// Replaces a voter by the best candidate, if there is one. A silent voter is
+    /// kept for a while if its replacement would put too many voters into one zone.
     fn replace(&mut self, daemon: &Daemon) {
         let previous = self.voters.clone();
         self.voters.remove(daemon);
@@ -154,11 +159,13 @@
         let Some((name, voter)) = self.best_candidate() else { return };
         let candidate_zone_voters = self.voters_in_zone(&voter.zone);
         let fullest_zone_voter = self.voters.iter().max_by_key(|(daemon, voter)| (self.voters_in_zone(&voter.zone), *daemon));
-        let Some(leaving) = fullest_zone_voter.map(|(daemon, voter)| (daemon.clone(), self.voters_in_zone(&voter.zone))) else {
+        let Some((leaving, zone_voters)) =
+            fullest_zone_voter.map(|(daemon, voter)| (daemon.clone(), self.voters_in_zone(&voter.zone)))
+        else {
             return;
         };
-        if leaving.1 > candidate_zone_voters + 1 {
-            self.voters.remove(&leaving.0);
+        if zone_voters > candidate_zone_voters + 1 {
+            self.voters.remove(&leaving);
             self.voters.insert(name, voter);
         }
     }
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -7,7 +7,8 @@
     pub term: Term,
     pub previous_index: u64,
     pub previous_term: Term,
-    /// Sent when the receiver lacks entries that the leader's log no longer holds.
+    /// Sent when the receiver's disk is empty or it lacks entries that the
+    /// leader's log no longer holds.
     pub snapshot: Option<Snapshot>,
     pub entries: Vec<Entry<C>>,
     #[serde(rename = "commit")]
--- a/crates/election/src/replica.rs
+++ b/crates/election/src/replica.rs
@@ -79,11 +79,15 @@
     leader_heard_at: Time,
     election_deadline: Time,
     next_heartbeat_at: Time,
+    /// Rounds of heartbeats sent as leader; learners take part in only some.
     heartbeat_rounds: u64,
     next_announcement_at: Time,
     elected_at: Time,
+    /// Votes granted in the current campaign, with the disk id of each voter.
     votes: BTreeMap<Daemon, Mark>,
+    /// As leader: the progress of every other voter and of the learners.
     progress: BTreeMap<Daemon, Progress>,
+    /// While bootstrapping: the other seeds that have announced themselves.
     discovered_peers: BTreeMap<Daemon, Voter>,
     /// Hosts that are being retired; replicas on them must not be voters.
     excluded_hosts: BTreeSet<String>,
@@ -97,6 +101,7 @@
     leave_accepted: bool,
     last_issued_write: u64,
     last_persisted_write: u64,
+    /// Whether the hard state changed since the last issued write.
     dirty: bool,
     /// Index of the last entry that is durable on this replica's disk.
     durable_index: u64,
@@ -104,6 +109,7 @@
     pending_writes: VecDeque<(u64, u64)>,
     /// Messages not yet sent, each with the write that has to be durable first.
     held_messages: VecDeque<(Option<u64>, Daemon, Message<C>)>,
+    /// The actions of the current step so far.
     actions: Vec<Action<C>>,
 }
 
--- a/crates/election/src/replica/leading.rs
+++ b/crates/election/src/replica/leading.rs
@@ -116,11 +116,12 @@
     }
 
     /// Whether entries or a snapshot may be sent to this replica now. Voters
-    /// always get them. There may be many learners, and a configuration is
-    /// large: sending to all of them at once, and again with each heartbeat,
-    /// would take more memory than the leader has. So a learner gets nothing
-    /// more until it had time to answer, and at most `MAX_LEARNERS_IN_FLIGHT`
-    /// learners are served at a time.
+    /// always get them. There may be many learners, and the operators'
+    /// configuration, which entries and snapshots carry, is large: sending it to
+    /// all learners at once, and again with each heartbeat, would take more
+    /// memory than the leader has. So a learner gets nothing more until it had
+    /// time to answer, and at most `MAX_LEARNERS_IN_FLIGHT` learners are served
+    /// at a time.
     fn may_send_entries(&self, daemon: &Daemon, now: Time) -> bool {
         if self.configuration.voter_names().contains(daemon) {
             return true;
@@ -132,6 +133,7 @@
         !busy(daemon) && busy_learners < MAX_LEARNERS_IN_FLIGHT
     }
 
+    /// Whether a response to a request of `sent_at` can still be expected.
     fn may_still_answer(&self, sent_at: Time, now: Time) -> bool {
         now.since(sent_at) < self.settings.timing.election_timeout
     }
--- a/crates/election/tests/explorer/world/start_states.rs
+++ b/crates/election/tests/explorer/world/start_states.rs
@@ -84,6 +84,7 @@
         world
     }
 
+    /// A machine that is not the leader.
     pub(super) fn follower(&self) -> Machine {
         let leader = self.leader();
         *self.nodes.keys().find(|machine| Some(**machine) != leader).expect("more than one machine")
--- a/crates/election/tests/membership.rs
+++ b/crates/election/tests/membership.rs
@@ -213,10 +213,10 @@
     group.start_empty(&name(4), false);
     group.run(2_000);
     let now = group.now + Span::secs(60);
-    let spare = &mut group.nodes.get_mut(&name(4)).unwrap().replica;
-    let (term, last_index) = (Term(spare.term().0 + 1), spare.commit_index() + 1);
+    let learner = &mut group.nodes.get_mut(&name(4)).unwrap().replica;
+    let (term, last_index) = (Term(learner.term().0 + 1), learner.commit_index() + 1);
     let request = Message::VoteRequest { pre_vote: false, term, last_index, last_term: term };
-    let actions = spare.receive(name(2), request, now);
+    let actions = learner.receive(name(2), request, now);
     let granted = actions.iter().any(|action| matches!(action, Action::Persist(_, state) if state.vote == Some(name(2))));
     assert!(granted, "{actions:?}");
 }
@@ -252,7 +252,7 @@
 /// under the same leader. It has to become a voter again when the next voter is
 /// lost.
 #[test]
-fn a_replaced_voter_that_came_back_is_a_spare_for_the_next_loss() {
+fn a_replaced_voter_that_came_back_replaces_the_next_lost_voter() {
     for seed in 1..30 {
         let mut group = Group::new(seed);
         group.start_empty(&name(4), false);
