--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -143,7 +143,7 @@
             // More than a part each, as work does not come evenly.
             *n = each(*n * 2).max(1);
         }
-        let mut addresses: Vec<Duty> = self.link.held.live(now).into_iter().map(|x| x.0).collect();
+        let mut addresses: Vec<Duty> = self.link.held.active(now).into_iter().map(|x| x.0).collect();
         addresses.retain(|d| !shut && matches!(d, Duty::Reach(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
             if shut || self.link.may(&Duty::of_address(&s.address), now).is_none() {
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -51,7 +51,7 @@
         for (p, x) in &self.link.places {
             by.entry(x.keeper.clone()).or_default().1.push((p.clone(), x.epoch));
         }
-        for (duty, epoch) in self.link.held.live(now) {
+        for (duty, epoch) in self.link.held.active(now) {
             if matches!(duty, Duty::Reach(_)) {
                 continue;
             }
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -68,7 +68,7 @@
             me: member("delivery-1"),
             seeds: vec![daemon("placement-1")],
             pull: Span::millis(300),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             hands_max: 64,
             cold_slack: 5.0,
             seed: 1,
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -14,7 +14,7 @@
         me: member("proxy-1", "z1"),
         agent: Daemon("agent-1".into()),
         pull: Span::millis(400),
-        terms: Terms::default(),
+        terms: LeaseTerms::default(),
         seats: 64,
         second: SECOND,
         limit: Span::secs(2),
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -242,7 +242,7 @@
             }
             let kept = |d: &Duty, g: &Daemon| matches!(d, Duty::Keep(_)) && *g == store;
             let held: Vec<Duty> =
-                self.given.iter().filter(|(d, g)| now < g.until && kept(d, &g.holder)).map(|(d, _)| d.clone()).collect();
+                self.given.iter().filter(|(d, g)| now < g.expires_at && kept(d, &g.holder)).map(|(d, _)| d.clone()).collect();
             for duty in held {
                 if self.shed.insert(duty, now).is_none() {
                     self.granted.insert(store.clone());
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -133,7 +133,7 @@
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
             seeds: names.collect(),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             election: ElectionTiming::default(),
             window: Span::millis(1000),
             hold: Span::millis(3200),
@@ -246,7 +246,7 @@
                 f.news.push(item);
             }
         }
-        let end = Terms::default().holder_end(asked);
+        let end = LeaseTerms::default().holder_expiry(asked);
         f.shed = grants.iter().filter(|g| g.shed).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -220,8 +220,8 @@
 }
 
 impl Times {
-    pub fn terms(&self) -> Terms {
-        Terms { length: Span::millis(self.lease), drift: self.drift_percent }
+    pub fn terms(&self) -> LeaseTerms {
+        LeaseTerms { length: Span::millis(self.lease), drift_percent: self.drift_percent }
     }
     /// The longest a partition can be without service after one hard fault:
     /// both leases out, a primary elected, reports in, resting attempts over.
--- a/crates/versions/tests/leader.rs
+++ b/crates/versions/tests/leader.rs
@@ -17,7 +17,7 @@
         life: Mark(1),
         disk: Mark(2),
     };
-    Link::new(me, seeds.iter().map(|seed| daemon(seed)).collect(), PACE, Terms::default())
+    Link::new(me, seeds.iter().map(|seed| daemon(seed)).collect(), PACE, LeaseTerms::default())
 }
 
 /// Whom the link asks at its next tick, and when that is.
--- a/crates/waitlist/tests/disk_stuck.rs
+++ b/crates/waitlist/tests/disk_stuck.rs
@@ -56,7 +56,7 @@
     fleet.stick(number);
     fleet.carry(1, 1);
     assert!(!fleet.accepted(1));
-    fleet.run(Terms::default().length.percent(50));
+    fleet.run(LeaseTerms::default().length.percent(50));
     assert!(fleet.accepted(1), "{:?}", fleet.told);
     fleet.carry(2, 1);
     assert!(fleet.accepted(2), "{:?}", fleet.told);
--- a/crates/waitlist/tests/settings/mod.rs
+++ b/crates/waitlist/tests/settings/mod.rs
@@ -22,7 +22,7 @@
         me,
         seeds: vec![daemon("placement-1")],
         pull: Span::millis(400),
-        terms: Terms::default(),
+        terms: LeaseTerms::default(),
         bytes_max: 1 << 20,
         disk_max: 1 << 20,
         cache_max: 1 << 20,
