--- a/crates/scale/src/axes/members.rs
+++ b/crates/scale/src/axes/members.rs
@@ -8,14 +8,14 @@
     for n in sizes(quick, &[100, 300, 1000, 2000]) {
         let (mut watch, spots) = watcher(n);
         let t = nanos();
-        watch.learn(spots, Time(0));
+        watch.update_members(spots, Time(0));
         let x = n as f64;
         axis.either("learning one list, ms", "ms", x, (nanos() - t) as f64 / 1e6);
     }
     for n in sizes(quick, &[100, 1000, 10_000]) {
         let (x, shape) = (n as f64, Shape { agents: n, ..Shape::default() });
         let members = shape.members();
-        let spots: Vec<Spot> = members.iter().map(|m| Spot { id: m.id.clone(), zone: m.zone.clone() }).collect();
+        let spots: Vec<RingMember> = members.iter().map(|m| RingMember { id: m.id.clone(), zone: m.zone.clone() }).collect();
         let t = nanos();
         let rounds = 20_000 / n.max(100) + 2;
         for m in members.iter().take(rounds) {
@@ -34,9 +34,9 @@
     axis.fitted()
 }
 
-fn watcher(n: usize) -> (Watch, Vec<Spot>) {
+fn watcher(n: usize) -> (FailureDetector, Vec<RingMember>) {
     let shape = Shape { agents: n, stores: 0, deliveries: 0, ..Shape::default() };
-    let spots: Vec<Spot> = shape.members().into_iter().map(|m| Spot { zone: m.zone, id: m.id }).collect();
+    let spots: Vec<RingMember> = shape.members().into_iter().map(|m| RingMember { zone: m.zone, id: m.id }).collect();
     let me = spots[spots.len() - 1].clone();
-    (Watch::new(me, Mark(1), BeatPace::default()), spots)
+    (FailureDetector::new(me, Mark(1), HeartbeatTiming::default()), spots)
 }
