--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -99,8 +99,8 @@
 
     /// A zone that is taken back may have turned cold meanwhile.
     pub(super) fn learn_orders(&mut self, now: Time) {
-        let back: Vec<Zone> = self.posts.empty.difference(&self.link.empty).cloned().collect();
-        self.posts.empty.clone_from(&self.link.empty);
+        let back: Vec<Zone> = self.posts.empty.difference(&self.link.emptied_zones).cloned().collect();
+        self.posts.empty.clone_from(&self.link.emptied_zones);
         for w in self.workers.values_mut().filter(|w| back.contains(&w.info.zone)) {
             let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_ms));
             w.cold_until = w.cold_until.max(now + cold);
@@ -109,7 +109,7 @@
     }
 
     fn may_reach(&self, w: &Fitness, now: Time) -> bool {
-        self.link.may(&Duty::of_worker(&w.info.zone, &w.info.id), now).is_some()
+        self.link.active_epoch(&Duty::of_worker(&w.info.zone, &w.info.id), now).is_some()
     }
 
     fn slots_of(&self, w: &Fitness) -> u32 {
@@ -143,10 +143,10 @@
             // More than a part each, as work does not come evenly.
             *n = each(*n * 2).max(1);
         }
-        let mut addresses: Vec<Duty> = self.link.held.active(now).into_iter().map(|x| x.0).collect();
+        let mut addresses: Vec<Duty> = self.link.leases.active(now).into_iter().map(|x| x.0).collect();
         addresses.retain(|d| !shut && matches!(d, Duty::Reach(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
-            if shut || self.link.may(&Duty::of_address(&s.address), now).is_none() {
+            if shut || self.link.active_epoch(&Duty::of_address(&s.address), now).is_none() {
                 continue;
             }
             let room = match self.posts.sites.get(&s.address) {
@@ -223,7 +223,7 @@
 
     /// Whether an address may be sent to now.
     fn may_address(&mut self, addr: &str, service: Option<&Service>, now: Time) -> bool {
-        if self.link.may(&Duty::of_address(addr), now).is_none() {
+        if self.link.active_epoch(&Duty::of_address(addr), now).is_none() {
             return false;
         }
         let most = service.map_or(SITE_SLOTS, |s| self.site_most(s));
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -44,23 +44,23 @@
     /// Tells each keeper how much it may hand over, and what is in hand.
     pub(super) fn send_rooms(&mut self, now: Time) {
         self.roomed = now;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return;
         }
         let mut by: BTreeMap<Daemon, Rooms> = BTreeMap::new();
-        for (p, x) in &self.link.places {
+        for (p, x) in &self.link.partition_locations {
             by.entry(x.keeper.clone()).or_default().1.push((p.clone(), x.epoch));
         }
-        for (duty, epoch) in self.link.held.active(now) {
+        for (duty, epoch) in self.link.leases.active(now) {
             if matches!(duty, Duty::Reach(_)) {
                 continue;
             }
             let room = self.room(&duty, now);
-            let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
+            let since = self.link.held_since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
             let one = Room { duty: duty.clone(), epoch, room, since };
             for (keeper, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
-                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.keeper == *keeper),
+                    Duty::Deliver(p) => self.link.partition_locations.get(p).is_some_and(|x| x.keeper == *keeper),
                     _ => !places.is_empty(),
                 };
                 if here {
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -9,7 +9,7 @@
 
 impl Delivery {
     pub(super) fn learn_workers(&mut self, now: Time) {
-        if self.link.vector().get(Source::Workers) == Version::ZERO {
+        if self.link.version_vector().get(Source::Workers) == Version::ZERO {
             return;
         }
         let list = self.link.workers.clone();
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -22,7 +22,7 @@
     /// Whether callers may be sent here: it knows the charter in force and
     /// some keeper of the spool that answers.
     pub(super) fn ready(&self, now: Time) -> bool {
-        self.leaving.is_none() && self.link.fresh(now) && self.free_part(now).is_some()
+        self.leaving.is_none() && self.link.config_is_current(now) && self.free_part(now).is_some()
     }
 
     fn wall(&self, now: Time) -> u64 {
@@ -36,7 +36,7 @@
         let near = &self.startup.me.zone;
         let fit: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let keeper = &self.link.places.get(&Rules::spool_place(n))?.keeper;
+                let keeper = &self.link.partition_locations.get(&Rules::spool_place(n))?.keeper;
                 let zone = self.link.zone_of(keeper)?;
                 (!self.outages.avoids(keeper, now)).then_some((zone == near, n))
             })
@@ -48,7 +48,7 @@
 
     pub(super) fn on_post(&mut self, ask: AskId, parcel: Box<Parcel>, delay: Span, desk: String, body: Bytes, now: Time) {
         self.counts.handed += 1;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             self.counts.refused += 1;
             return self.tell(ask, short("this proxy can't confirm the charter in force"));
         }
@@ -131,7 +131,7 @@
     /// Whether a message of this partition alone is refused at once, as its
     /// keeper was silent for long.
     fn keeper_is_lost(&mut self, part: u32, now: Time) -> bool {
-        let keeper = self.link.places.get(&Rules::spool_place(part)).map(|placing| &placing.keeper);
+        let keeper = self.link.partition_locations.get(&Rules::spool_place(part)).map(|placing| &placing.keeper);
         keeper.is_some_and(|keeper| self.outages.refuses(keeper, now))
     }
 
@@ -150,7 +150,7 @@
         if c.doubt || now.since(c.since) >= bounds.limit {
             return self.give_up(n);
         }
-        let keeper = self.link.places.get(&c.place).map(|placing| &placing.keeper);
+        let keeper = self.link.partition_locations.get(&c.place).map(|placing| &placing.keeper);
         if !c.head.key.is_empty() {
             return self.outages.note_elsewhere(None, &c.place, now);
         }
--- a/crates/ingest/src/proxy/relay.rs
+++ b/crates/ingest/src/proxy/relay.rs
@@ -7,7 +7,7 @@
 /// proxy shares its side of the cut, one beside the keeper the other side.
 /// Among equals, one that answered lately comes first.
 pub(super) fn relay_around(
-    link: &Link,
+    link: &ControlPlaneLink,
     outages: &Outages,
     keeper: Option<&Daemon>,
     tried: &BTreeSet<Daemon>,
--- a/crates/versions/tests/lives.rs
+++ b/crates/versions/tests/lives.rs
@@ -16,8 +16,8 @@
 }
 
 /// A link of a new life, and when it asked first.
-fn started(now: Time) -> (Link, Time) {
-    let mut link = Link::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
+fn started(now: Time) -> (ControlPlaneLink, Time) {
+    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
     let out = link.tick(now, || None);
     assert!(matches!(out.last(), Some(Effect::Say(_, Msg::Need { asked, .. })) if *asked == now), "{out:?}");
     (link, now)
@@ -37,11 +37,11 @@
 }
 
 /// Whether the link holds what is granted in news that was asked for at `asked`.
-fn holds(link: &mut Link, asked: Time, now: Time) -> bool {
+fn holds(link: &mut ControlPlaneLink, asked: Time, now: Time) -> bool {
     let from = Daemon("placement-1".into());
     let fresh = Some(Span::secs(2));
-    link.news(&from, asked, Term(1), fresh, Vec::new(), vec![grant()], Vec::new(), now, &mut Vec::new());
-    link.held.active_epoch(&grant().duty, now).is_some()
+    link.apply_updates(&from, asked, Term(1), fresh, Vec::new(), vec![grant()], Vec::new(), now, &mut Vec::new());
+    link.leases.active_epoch(&grant().duty, now).is_some()
 }
 
 #[test]
@@ -54,6 +54,6 @@
 
 #[test]
 fn before_it_asked_a_daemon_holds_nothing() {
-    let mut link = Link::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
+    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
     assert!(!holds(&mut link, Time::millis(9_999), Time::millis(10_000)));
 }
--- a/crates/waitlist/src/store/append.rs
+++ b/crates/waitlist/src/store/append.rs
@@ -100,7 +100,7 @@
             }
             // A copy made whole under a new mark: placement may count it now.
             if own.whole.insert(from, mark) != Some(mark) {
-                self.link.hurry(now);
+                self.link.pull_now(now);
             }
             return;
         }
--- a/crates/waitlist/src/store/departure.rs
+++ b/crates/waitlist/src/store/departure.rs
@@ -48,7 +48,7 @@
         self.shed_all(now);
         let waited = now.since(since);
         let idle = self.parts.values().all(|part| part.own.is_none());
-        let answered = waited >= ANSWERS_UNDER_WAY && !self.link.due(now);
+        let answered = waited >= ANSWERS_UNDER_WAY && !self.link.is_pull_due(now);
         let kept = self.kept_elsewhere() || waited > UNANSWERED;
         let free = match seats {
             Seats::Unknown => waited > UNANSWERED,
@@ -65,7 +65,7 @@
     fn kept_elsewhere(&self) -> bool {
         self.gave.keys().all(|duty| {
             let Duty::Keep(place) = duty else { return true };
-            self.link.places.get(place).is_some_and(|placing| placing.keeper != self.startup.me.id)
+            self.link.partition_locations.get(place).is_some_and(|placing| placing.keeper != self.startup.me.id)
         })
     }
 }
--- a/crates/waitlist/src/store/disk_stuck.rs
+++ b/crates/waitlist/src/store/disk_stuck.rs
@@ -51,7 +51,7 @@
     /// partitions are given up. Earlier than that it would take a claim that
     /// is still live for one given up.
     pub(super) fn unfit_as_keeper(&self, now: Time) -> bool {
-        let keeps = self.link.held.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Keep(_)));
+        let keeps = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Keep(_)));
         self.gives_up_partitions(now) && !keeps && self.parts.values().all(|part| part.own.is_none())
     }
 }
--- a/crates/waitlist/src/store/mates.rs
+++ b/crates/waitlist/src/store/mates.rs
@@ -108,7 +108,7 @@
         let due: Vec<Place> =
             self.parts.iter().filter(|(_, p)| p.own.as_ref().is_some_and(silent)).map(|(place, _)| place.clone()).collect();
         for place in due {
-            if self.link.may(&Duty::Keep(place.clone()), now).is_some() {
+            if self.link.active_epoch(&Duty::Keep(place.clone()), now).is_some() {
                 self.tend(&place, now);
             }
         }
--- a/crates/waitlist/src/store/upkeep.rs
+++ b/crates/waitlist/src/store/upkeep.rs
@@ -83,7 +83,7 @@
 
     /// Notes duties that have something due and a holder that we do not hear.
     fn watch_duties(&mut self, now: Time) {
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return self.starved.clear();
         }
         let (lanes, _) = self.due_lanes(now);
