--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -17,8 +17,8 @@
 
 /// An address on no list. Invariant: `open` counts the calls under way there.
 struct Site {
-    pace: Option<Allowance>,
-    breaker: Breaker,
+    pace: Option<RateLimiter>,
+    breaker: CircuitBreaker,
     open: u32,
     /// Requests it runs at once, by its own word.
     slots: u32,
@@ -27,7 +27,7 @@
 
 impl Default for Site {
     fn default() -> Site {
-        Site { pace: None, breaker: Breaker::new(3, Span::secs(1)), open: 0, slots: 0, full_until: Time(0) }
+        Site { pace: None, breaker: CircuitBreaker::new(3, Span::secs(1)), open: 0, slots: 0, full_until: Time(0) }
     }
 }
 
@@ -123,8 +123,8 @@
         // One that could not be reached is asked whether it is well, where
         // it can be asked, before a message goes there.
         let asked = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health.is_empty());
-        let unasked = w.down.wary() && asked();
-        w.usable(&self.link, now) && !w.gone && !w.sick.open(now) && !unasked
+        let unasked = w.down.is_tripped() && asked();
+        w.usable(&self.link, now) && !w.gone && !w.sick.is_open(now) && !unasked
     }
 
     /// How much of each service this daemon takes from each of `keepers`
@@ -150,8 +150,8 @@
                 continue;
             }
             let room = match self.posts.sites.get(&s.address) {
-                Some(x) if x.breaker.open(now) => 0,
-                Some(x) if x.breaker.wary() => 1,
+                Some(x) if x.breaker.is_open(now) => 0,
+                Some(x) if x.breaker.is_tripped() => 1,
                 _ => each(self.site_most(s) * 2).max(2),
             };
             services.insert(s.name.clone(), room);
@@ -230,14 +230,14 @@
         let rate = service.map_or(0.0, |s| s.rate);
         let site = self.posts.sites.entry(addr.to_string()).or_default();
         if rate > 0.0 {
-            let pace = site.pace.get_or_insert_with(|| Allowance::per(rate, now));
-            pace.set(rate);
-            if pace.room(now) == 0 {
+            let pace = site.pace.get_or_insert_with(|| RateLimiter::with_endpoint_rate(rate, now));
+            pace.set_endpoint_rate(rate);
+            if pace.available(now) == 0 {
                 return false;
             }
         }
-        let most = if site.breaker.wary() { 1 } else { most };
-        !site.breaker.open(now) && site.open < most && now >= site.full_until
+        let most = if site.breaker.is_tripped() { 1 } else { most };
+        !site.breaker.is_open(now) && site.open < most && now >= site.full_until
     }
 
     /// Where a message of a service goes now: the least busy of the workers
@@ -251,7 +251,7 @@
         let mine = self.workers.values().filter(|w| w.info.service == service && self.may_reach(w, now));
         let free = |w: &&Fitness| {
             let cold = now < w.cold_until && now < w.cold_next;
-            !cold && self.fit(w, now) && w.busy < self.slots_of(w) && now >= w.full_until && !(w.sick.wary() && w.busy > 0)
+            !cold && self.fit(w, now) && w.busy < self.slots_of(w) && now >= w.full_until && !(w.sick.is_tripped() && w.busy > 0)
         };
         let turn = self.next_call;
         let best = mine.filter(free).min_by_key(|w| {
@@ -290,7 +290,7 @@
                 if let Some(s) = self.posts.sites.get_mut(a) {
                     s.open += 1;
                     if let Some(p) = s.pace.as_mut() {
-                        p.take(now);
+                        p.try_acquire(now);
                     }
                 }
             }
@@ -355,12 +355,12 @@
         let mut note = None;
         match (reply, end) {
             (Reply::Lost(Sent::No), _) => {
-                if f.down.fail(now) {
+                if f.down.record_failure(now) {
                     note = Some((Note::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
             (_, RunEnd::Doubt(_)) => {
-                if f.sick.fail(now) {
+                if f.sick.record_failure(now) {
                     note = Some((Note::WorkerEjected, id.to_string()));
                 }
             }
@@ -370,7 +370,7 @@
             }
             (_, RunEnd::NotRun { gone: false }) => f.full_until = now + FULL,
             _ => {
-                if f.down.pass() | f.sick.pass() {
+                if f.down.record_success() | f.sick.record_success() {
                     note = Some((Note::WorkerBack, id.to_string()));
                 }
             }
@@ -389,12 +389,12 @@
         }
         let lost = matches!(end, RunEnd::Doubt(_)) || matches!(reply, Reply::Lost(_));
         let note = match end {
-            _ if lost => s.breaker.fail(now).then_some(Note::BreakerOpen),
+            _ if lost => s.breaker.record_failure(now).then_some(Note::BreakerOpen),
             RunEnd::NotRun { .. } => {
                 s.full_until = now + FULL;
                 None
             }
-            _ => s.breaker.pass().then_some(Note::BreakerShut),
+            _ => s.breaker.record_success().then_some(Note::BreakerShut),
         };
         if let Some(note) = note {
             self.out.push(Effect::Note(note, addr.to_string()));
@@ -411,7 +411,7 @@
         let due: Vec<(WorkerId, String, String)> = self
             .workers
             .values()
-            .filter(|w| w.down.wary() && !w.down.open(now) && !w.gone && w.busy == 0)
+            .filter(|w| w.down.is_tripped() && !w.down.is_open(now) && !w.gone && w.busy == 0)
             .filter(|w| now.since(w.probed) >= Span::millis(500) && self.may_reach(w, now))
             .filter_map(|w| {
                 let s = self.link.rules.services.get(&w.info.service)?;
@@ -435,12 +435,12 @@
         match reply {
             Reply::Health { worker: Some(w), .. } if w != id => f.gone = true,
             Reply::Health { well: true, .. } => {
-                if f.down.pass() {
+                if f.down.record_success() {
                     self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
                     self.send_rooms(now);
                 }
             }
-            _ => _ = f.down.fail(now),
+            _ => _ = f.down.record_failure(now),
         }
     }
 }
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -28,15 +28,15 @@
             Duty::Endpoint(name) => {
                 let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
                 let Some(desk) = self.desks.get_mut(name) else { return 0 };
-                if desk.breaker.open(now) {
+                if desk.breaker.is_open(now) {
                     return 0;
                 }
-                if desk.breaker.wary() {
+                if desk.breaker.is_tripped() {
                     return 1;
                 }
                 // A second's worth from each store: so all tenants' messages
                 // stand here to take their turns.
-                slots.min(desk.allowance.pace() as u32).max(1)
+                slots.min(desk.allowance.sends_per_second() as u32).max(1)
             }
         }
     }
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -22,14 +22,14 @@
                 Some(f) if f.info.addr == w.addr => {
                     // Another delivery saw it come up anew.
                     let since = Time(now.0.saturating_sub(w.age.0));
-                    if since > f.ramp.since + Span::secs(1) {
-                        f.ramp.since = since;
+                    if since > f.ramp.started_at + Span::secs(1) {
+                        f.ramp.started_at = since;
                     }
                     if cold > f.cold_until + Span::millis(500) {
                         f.cold_until = cold;
                     }
                     f.info = w;
-                    f.ramp.warm = warm;
+                    f.ramp.duration = warm;
                 }
                 _ => {
                     let w = Worker { age: if self.listed.is_some() { Span::ZERO } else { w.age }, ..w };
@@ -49,16 +49,16 @@
             return;
         }
         let warming: BTreeSet<String> =
-            self.workers.values().filter(|w| w.ramp.warming(now)).map(|w| w.info.service.clone()).collect();
+            self.workers.values().filter(|w| w.ramp.is_warming(now)).map(|w| w.info.service.clone()).collect();
         let before: BTreeMap<String, Vec<Slice>> = warming.into_iter().map(|s| (s.clone(), self.slices_of(&s))).collect();
         self.slices = next;
         for (service, was) in before {
             let (full, new) = (self.full(&service), self.slices_of(&service));
-            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.ramp.warming(now)) {
+            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.ramp.is_warming(now)) {
                 let slots = w.ramp.slots(full, now);
                 let mine = |all: &[Slice]| all.iter().map(|s| s.of(slots, w.turn)).sum::<u32>();
                 if mine(&new) > mine(&was) {
-                    w.ramp.last = now;
+                    w.ramp.last_start = now;
                 }
             }
         }
@@ -97,26 +97,26 @@
         let wary = self.listed.is_none_or(|t| now.since(t) < WARY);
         let near = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
         let of: Vec<&Fitness> = self.workers.values().filter(|w| w.info.service == service).collect();
-        let sick = of.iter().filter(|w| w.sick.open(now)).count();
+        let sick = of.iter().filter(|w| w.sick.is_open(now)).count();
         // Never more than half set aside for failing: then it is not the workers.
         let floor = sick * 2 > of.len();
         let mut fit: Vec<&Fitness> = of
             .into_iter()
-            .filter(|w| w.usable(&self.link, now) && (floor || !w.sick.open(now)))
+            .filter(|w| w.usable(&self.link, now) && (floor || !w.sick.is_open(now)))
             .filter(|w| {
                 let slots = w.ramp.slots(full, now);
                 let mine: u32 = slices.iter().map(|s| s.of(slots, w.turn)).sum();
                 if wary || w.may_be_fresh(now) {
-                    let fresh = Ramp { since: now, ..w.ramp };
-                    return w.busy < mine.min(1) && fresh.spaced(slots, mine, now);
+                    let fresh = WarmUp { started_at: now, ..w.ramp };
+                    return w.busy < mine.min(1) && fresh.may_start(slots, mine, now);
                 }
-                w.busy < mine && w.ramp.spaced(slots, mine, now)
+                w.busy < mine && w.ramp.may_start(slots, mine, now)
             })
             .collect();
         // One that warms up is not preferred: with a backlog it would get all
         // of it, and its warm peers in other zones next to nothing.
         let here = &self.startup.me.zone;
-        if near && fit.iter().any(|w| w.info.zone == *here && !w.ramp.warming(now)) {
+        if near && fit.iter().any(|w| w.info.zone == *here && !w.ramp.is_warming(now)) {
             fit.retain(|w| w.info.zone == *here);
         }
         if fit.is_empty() {
@@ -124,7 +124,7 @@
         }
         let first = self.rng.usize(..fit.len());
         let other = (first + self.rng.usize(1..fit.len().max(2))) % fit.len();
-        let weight = |w: &&Fitness| (w.busy * 2 + w.load, w.busy, w.ramp.last);
+        let weight = |w: &&Fitness| (w.busy * 2 + w.load, w.busy, w.ramp.last_start);
         let best = [fit[first], fit[other]].into_iter().min_by_key(weight)?;
         Some(best.info.id.clone())
     }
@@ -175,33 +175,33 @@
                 f.answered = now;
                 f.load = load.unwrap_or(f.load);
                 f.draining = *draining;
-                if f.down.pass() {
+                if f.down.record_success() {
                     // Back from the dead: it warms up anew.
-                    f.ramp.since = now;
+                    f.ramp.started_at = now;
                     self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
                 }
                 let Some(f) = self.workers.get_mut(id) else { return };
                 if *code >= 500 && *code != 503 {
-                    if f.sick.fail(now) {
+                    if f.sick.record_failure(now) {
                         self.out.push(Effect::Note(Note::WorkerEjected, id.to_string()));
                     }
-                } else if !load_only && f.sick.pass() {
+                } else if !load_only && f.sick.record_success() {
                     // One that answered all the while, if badly, is no fresh one.
                     if std::mem::take(&mut f.lost) {
-                        f.ramp.since = now;
+                        f.ramp.started_at = now;
                     }
                     self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
                 }
             }
             Reply::Ran { .. } | Reply::Listed(_) | Reply::Health { .. } => {}
             Reply::Lost(Sent::No) => {
-                if f.down.fail(now) {
+                if f.down.record_failure(now) {
                     self.out.push(Effect::Note(Note::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
             Reply::Lost(Sent::Maybe) => {
                 f.lost = true;
-                if f.sick.fail(now) {
+                if f.sick.record_failure(now) {
                     self.out.push(Effect::Note(Note::WorkerEjected, id.to_string()));
                 }
             }
