--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    fn save(&mut self, directory: &ModelDirectory, folder: &Folder, hard: &mut HardFiles, dice: &mut Dice) -> bool {
+    fn save(&mut self, directory: &ModelDirectory, folder: &DataFolder, hard: &mut HardFiles, dice: &mut Dice) -> bool {
         let mut out = Vec::new();
         for _ in 0..1 + dice.below(3) {
             self.asked += 1;
--- a/crates/disk/tests/power_loss/main.rs
+++ b/crates/disk/tests/power_loss/main.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 /// Opens the folder as a start does.
-fn open(directory: &ModelDirectory) -> (Folder, Vec<(String, Bytes)>) {
-    let folder = Folder::over(Arc::new(directory.clone()), "one").unwrap();
+fn open(directory: &ModelDirectory) -> (DataFolder, Vec<(String, Bytes)>) {
+    let folder = DataFolder::with_directory(Arc::new(directory.clone()), "one").unwrap();
     let names = folder.list().unwrap();
     let files = names.into_iter().map(|name| (name.clone(), folder.load(&name).unwrap())).collect();
     (folder, files)
@@ -30,12 +30,12 @@
 
 /// Does a step's effects on the disk in order, and gives the events they lead
 /// to; `None` when the power was lost.
-fn perform(directory: &ModelDirectory, folder: &Folder, effects: &[Effect]) -> Option<Vec<Event>> {
+fn perform(directory: &ModelDirectory, folder: &DataFolder, effects: &[Effect]) -> Option<Vec<Event>> {
     let mut events = Vec::new();
     for effect in effects {
         match effect {
             Effect::Save { n, name, bytes } => {
-                until_done(directory, || folder.claim().and_then(|()| folder.save(name, bytes)))?;
+                until_done(directory, || folder.claim_ownership().and_then(|()| folder.save(name, bytes)))?;
                 events.push(Event::Saved(*n));
             }
             Effect::Remove(name) => until_done(directory, || folder.remove(name))?,
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -150,13 +150,13 @@
         Ok(())
     }
 
-    fn tell(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, msg: Msg) -> bool {
+    fn tell(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, msg: Msg) -> bool {
         let effects = store.step(Event::Hear { from: daemon("store-2"), msg }, Time(2));
         self.settle(directory, folder, store, effects)
     }
 
     /// Does all that follows; false when the power was lost.
-    fn settle(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, effects: Vec<Effect>) -> bool {
+    fn settle(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, effects: Vec<Effect>) -> bool {
         let mut effects = effects;
         loop {
             self.hear(&effects);
--- a/crates/shell/src/disk.rs
+++ b/crates/shell/src/disk.rs
@@ -37,13 +37,13 @@
 
 /// The data folder as the core reads it back.
 pub struct StoredFiles {
-    folder: Folder,
+    folder: DataFolder,
     names: Vec<String>,
 }
 
 impl StoredFiles {
     /// Lists the folder. Fails only where the folder itself can't be read.
-    pub fn new(folder: Folder) -> Result<StoredFiles, DiskError> {
+    pub fn new(folder: DataFolder) -> Result<StoredFiles, DiskError> {
         let names = retry_read(|| folder.list())?;
         Ok(StoredFiles { folder, names })
     }
@@ -66,14 +66,14 @@
 }
 
 /// Opens the data folder, with patience for a disk that misreads.
-pub fn open_folder(path: &std::path::Path, owner: &str) -> Result<Folder, DiskError> {
-    retry_read(|| Folder::open(path, owner))
+pub fn open_folder(path: &std::path::Path, owner: &str) -> Result<DataFolder, DiskError> {
+    retry_read(|| DataFolder::open(path, owner))
 }
 
 fn retry_read<T>(mut read: impl FnMut() -> Result<T, DiskError>) -> Result<T, DiskError> {
     for _ in 1..READ_ATTEMPTS {
         match read() {
-            Err(DiskError::Unread { .. }) => std::thread::sleep(READ_PAUSE),
+            Err(DiskError::ReadFailed { .. }) => std::thread::sleep(READ_PAUSE),
             other => return other,
         }
     }
@@ -83,7 +83,7 @@
 /// The disk thread's state. Invariant: jobs other than reads are done in the
 /// order they were asked for.
 pub struct DiskWorker {
-    folder: Folder,
+    folder: DataFolder,
     jobs: Receiver<Job>,
     /// Asked for while another job was being retried.
     postponed: VecDeque<Job>,
@@ -101,7 +101,7 @@
 
 impl DiskWorker {
     pub fn new(
-        folder: Folder,
+        folder: DataFolder,
         jobs: Receiver<Job>,
         events: Sender<Event>,
         progress: Arc<DiskProgress>,
@@ -112,7 +112,7 @@
 
     /// Works until the core is gone.
     pub fn run(mut self) {
-        if let Err(e) = self.folder.clean() {
+        if let Err(e) = self.folder.remove_temporary_files() {
             report(&e);
         }
         while let Some(job) = self.next_job() {
@@ -142,7 +142,7 @@
 
     fn save(&mut self, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
         if !self.claimed {
-            self.folder.claim()?;
+            self.folder.claim_ownership()?;
             self.claimed = true;
         }
         let begun = Instant::now();
@@ -152,7 +152,7 @@
     }
 
     fn load(&self, n: u64, name: &str, at: u64, len: u32) -> Result<(), Ended> {
-        let bytes = self.folder.piece(name, at, len).unwrap_or_else(|e| {
+        let bytes = self.folder.read_range(name, at, len).unwrap_or_else(|e| {
             report(&e);
             None
         });
--- a/crates/shell/tests/disk.rs
+++ b/crates/shell/tests/disk.rs
@@ -1,6 +1,6 @@
 //! The disk thread over a directory that fails or stalls on demand.
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
-use dw_disk::prelude::{Directory, Folder, OsDirectory};
+use dw_disk::prelude::{DataFolder, Directory, OsDirectory};
 use dw_shell::disk::{DiskMonitor, DiskProgress, DiskWorker, Job, StoredFiles};
 use dw_shell::prelude::*;
 use std::io;
@@ -57,7 +57,7 @@
 struct Daemon {
     path: PathBuf,
     disk: Arc<FaultyDirectory>,
-    folder: Folder,
+    folder: DataFolder,
     jobs: Sender<Job>,
     events: Receiver<Event>,
     monitor: DiskMonitor,
@@ -76,7 +76,7 @@
             unreadable: AtomicBool::new(false),
             owner_unreadable: AtomicBool::new(false),
         });
-        let folder = Folder::over(disk.clone(), "one").unwrap();
+        let folder = DataFolder::with_directory(disk.clone(), "one").unwrap();
         let (jobs, todo) = unbounded();
         let (ring, events) = bounded(64);
         let progress = Arc::new(DiskProgress::default());
@@ -147,7 +147,7 @@
     assert!(daemon.events.is_empty());
     daemon.disk.full.store(false, Ordering::Release);
     assert_eq!(daemon.event(), Event::Saved(1));
-    assert!(Folder::open(&daemon.path, "two").is_err());
+    assert!(DataFolder::open(&daemon.path, "two").is_err());
 }
 
 #[test]
@@ -181,11 +181,11 @@
     daemon.save(1, "hard-1");
     assert_eq!(daemon.event(), Event::Saved(1));
     daemon.disk.owner_unreadable.store(true, Ordering::Release);
-    let folder = Folder::over(daemon.disk.clone(), "one").unwrap();
+    let folder = DataFolder::with_directory(daemon.disk.clone(), "one").unwrap();
     assert_eq!(folder.load("hard-1").unwrap(), Bytes::from_static(b"state"));
-    folder.claim().unwrap();
+    folder.claim_ownership().unwrap();
     daemon.disk.owner_unreadable.store(false, Ordering::Release);
-    assert!(Folder::over(daemon.disk.clone(), "two").is_err());
+    assert!(DataFolder::with_directory(daemon.disk.clone(), "two").is_err());
 }
 
 #[test]
