--- a/crates/versions/tests/lives.rs
+++ b/crates/versions/tests/lives.rs
@@ -1,7 +1,7 @@
-//! News that an earlier life of a daemon asked for.
+//! Updates that answer a pull of an earlier incarnation are ignored.
 use dw_versions::prelude::*;
 
-const PACE: Span = Span::millis(400);
+const PULL_INTERVAL: Span = Span::millis(400);
 
 fn member() -> Member {
     Member {
@@ -15,9 +15,9 @@
     }
 }
 
-/// A link of a new life, and when it asked first.
-fn started(now: Time) -> (ControlPlaneLink, Time) {
-    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
+/// A link that has just started, and the time of its first pull.
+fn started_link(now: Time) -> (ControlPlaneLink, Time) {
+    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PULL_INTERVAL, LeaseTerms::default());
     let out = link.tick(now, || None);
     assert!(matches!(out.last(), Some(Effect::Say(_, Msg::Need { asked, .. })) if *asked == now), "{out:?}");
     (link, now)
@@ -36,24 +36,24 @@
     }
 }
 
-/// Whether the link holds what is granted in news that was asked for at `asked`.
-fn holds(link: &mut ControlPlaneLink, asked: Time, now: Time) -> bool {
+/// Whether the link accepts a grant in the response to a pull sent at `requested_at`.
+fn accepts_grant(link: &mut ControlPlaneLink, requested_at: Time, now: Time) -> bool {
     let from = Daemon("placement-1".into());
-    let fresh = Some(Span::secs(2));
-    link.apply_updates(&from, asked, Term(1), fresh, Vec::new(), vec![grant()], Vec::new(), now, &mut Vec::new());
+    let current_for = Some(Span::secs(2));
+    link.apply_updates(&from, requested_at, Term(1), current_for, Vec::new(), vec![grant()], Vec::new(), now, &mut Vec::new());
     link.leases.active_epoch(&grant().duty, now).is_some()
 }
 
 #[test]
-fn a_grant_that_an_earlier_life_asked_for_is_not_held() {
-    let (mut link, first) = started(Time::millis(10_000));
-    let now = first + Span::millis(50);
-    assert!(!holds(&mut link, Time(first.0 - 1), now));
-    assert!(holds(&mut link, first, now));
+fn a_grant_requested_by_an_earlier_incarnation_is_not_accepted() {
+    let (mut link, first_pull_at) = started_link(Time::millis(10_000));
+    let now = first_pull_at + Span::millis(50);
+    assert!(!accepts_grant(&mut link, Time(first_pull_at.0 - 1), now));
+    assert!(accepts_grant(&mut link, first_pull_at, now));
 }
 
 #[test]
-fn before_it_asked_a_daemon_holds_nothing() {
-    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PACE, LeaseTerms::default());
-    assert!(!holds(&mut link, Time::millis(9_999), Time::millis(10_000)));
+fn no_grant_is_accepted_before_the_first_pull() {
+    let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PULL_INTERVAL, LeaseTerms::default());
+    assert!(!accepts_grant(&mut link, Time::millis(9_999), Time::millis(10_000)));
 }
