--- a/crates/disk/src/directory.rs
+++ b/crates/disk/src/directory.rs
@@ -1,5 +1,6 @@
-//! The file operations that a data folder is built on, and their form on a
-//! real file system. Tests put a model in its place that loses power.
+//! The file operations that a data folder is built on, and their
+//! implementation on a real file system. Tests use a model instead that can
+//! lose power.
 use crate::prelude::*;
 use std::fs::{self, File};
 use std::io::{self, ErrorKind, Write};
@@ -8,16 +9,17 @@
 
 /// One flat directory of files.
 pub trait Directory: Send + Sync {
-    /// Where it is, for messages.
+    /// Its path, for messages.
     fn path(&self) -> &Path;
     /// The names of all files in it.
     fn names(&self) -> io::Result<Vec<String>>;
     /// A file's bytes; `None` when there is no such file.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Some bytes of a file; `None` when they are not there.
+    /// `len` bytes of a file from `offset` on; `None` when there is no such
+    /// file or it is too short.
     fn read_at(&self, name: &str, offset: u64, len: u32) -> io::Result<Option<Bytes>>;
-    /// Makes the file or replaces its bytes, and syncs the bytes, though not
-    /// the name.
+    /// Creates the file or replaces its bytes, and syncs the bytes. The name of
+    /// a new file is durable only after `sync`.
     fn write_synced(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Renames a file, replacing the one of the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
@@ -33,7 +35,7 @@
 }
 
 impl OsDirectory {
-    /// Names a directory; it has to exist when it is used.
+    /// Refers to a directory, which has to exist by the time it is used.
     pub fn new(path: &Path) -> OsDirectory {
         OsDirectory { path: path.to_path_buf() }
     }
--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -1,55 +1,62 @@
-//! The versions of placement's hard state.
+//! The saved versions of a placement replica's hard state.
 use super::*;
 use dw_placement::hard_files::{Found, HardFiles};
 use dw_placement::prelude::{HardState, Mark, Order, Term};
 use proptest::prelude::*;
 
-const MARK: Mark = Mark(7);
+const DISK_ID: Mark = Mark(7);
 
 fn state(term: u64) -> HardState<Order> {
-    HardState { term: Term(term), ..HardState::fresh(MARK) }
+    HardState { term: Term(term), ..HardState::fresh(DISK_ID) }
 }
 
-/// What a replica asked to have saved, and what it was told is.
+/// The terms of the hard states that a replica asked to save and that were
+/// reported as saved.
 #[derive(Default)]
 struct Replica {
-    asked: u64,
-    reported: u64,
+    last_requested: u64,
+    last_reported: u64,
 }
 
 impl Replica {
-    /// One life: reads the folder, and saves until the power is lost.
-    fn live(&mut self, directory: &ModelDirectory, dice: &mut Dice) -> Result<(), TestCaseError> {
+    /// One incarnation: reads the folder, and saves until the power is lost.
+    fn run_until_power_loss(&mut self, directory: &ModelDirectory, random: &mut Random) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
         let (mut hard, found) = HardFiles::read(&files);
         match found {
-            Found::Lost => prop_assert!(false, "amnesia, with {} reported as saved", self.reported),
-            Found::Nothing => prop_assert_eq!(self.reported, 0),
+            Found::Lost => prop_assert!(false, "the state is lost, with term {} reported as saved", self.last_reported),
+            Found::Nothing => prop_assert_eq!(self.last_reported, 0),
             Found::State(found) => {
-                prop_assert!(found.term.0 >= self.reported, "term {} for {}", found.term.0, self.reported);
-                prop_assert!(found.term.0 <= self.asked);
-                self.reported = found.term.0;
+                prop_assert!(
+                    found.term.0 >= self.last_reported,
+                    "term {} is read back after {} was reported",
+                    found.term.0,
+                    self.last_reported
+                );
+                prop_assert!(found.term.0 <= self.last_requested);
+                self.last_reported = found.term.0;
             }
         }
-        directory.power_for(1 + dice.below(40));
-        while self.save(directory, &folder, &mut hard, dice) {}
+        directory.supply_power_for(1 + random.below(40));
+        while self.save(directory, &folder, &mut hard, random) {}
         directory.lose_power();
         Ok(())
     }
 
-    fn save(&mut self, directory: &ModelDirectory, folder: &DataFolder, hard: &mut HardFiles, dice: &mut Dice) -> bool {
-        let mut out = Vec::new();
-        for _ in 0..1 + dice.below(3) {
-            self.asked += 1;
-            hard.save(self.asked, state(self.asked), &mut out);
+    /// Saves a few new states, until all are reported; false if the power was lost.
+    fn save(&mut self, directory: &ModelDirectory, folder: &DataFolder, hard: &mut HardFiles, random: &mut Random) -> bool {
+        let mut effects = Vec::new();
+        for _ in 0..1 + random.below(3) {
+            self.last_requested += 1;
+            hard.save(self.last_requested, state(self.last_requested), &mut effects);
         }
-        directory.full_for(dice.below(3));
-        while !out.is_empty() {
-            let Some(events) = perform(directory, folder, &std::mem::take(&mut out)) else { return false };
+        directory.fail_writes(random.below(3));
+        while !effects.is_empty() {
+            let Some(events) = perform_disk_effects(directory, folder, &std::mem::take(&mut effects)) else { return false };
             for event in events {
                 let Event::Saved(n) = event else { continue };
-                self.reported = self.reported.max(n);
-                hard.saved(&mut out);
+                self.last_reported = self.last_reported.max(n);
+                hard.saved(&mut effects);
             }
         }
         true
@@ -60,11 +67,11 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn the_newest_reported_state_or_a_newer_one_is_read_back(seed in any::<u64>()) {
-        let mut dice = Dice::new(seed);
+        let mut random = Random::new(seed);
         let directory = ModelDirectory::new(seed.rotate_left(17));
         let mut replica = Replica::default();
         for _ in 0..5 {
-            replica.live(&directory, &mut dice)?;
+            replica.run_until_power_loss(&directory, &mut random)?;
         }
     }
 }
--- a/crates/disk/tests/power_loss/main.rs
+++ b/crates/disk/tests/power_loss/main.rs
@@ -1,6 +1,6 @@
-//! Loss of power at any step, with each unsynced change of the directory kept
-//! or lost by itself: what was reported as saved is read back, and nothing
-//! older or torn is taken for newer state.
+//! Loss of power at any step, after which each unsynced change of the directory
+//! is kept or lost independently of the others. What was reported as saved must
+//! be read back, and nothing older or torn may be taken for newer state.
 mod hard_state;
 mod model;
 mod store;
@@ -9,7 +9,7 @@
 use model::*;
 use std::sync::Arc;
 
-/// Opens the folder as a start does.
+/// Opens the folder and loads all its files, as a daemon does at its start.
 fn open(directory: &ModelDirectory) -> (DataFolder, Vec<(String, Bytes)>) {
     let folder = DataFolder::with_directory(Arc::new(directory.clone()), "one").unwrap();
     let names = folder.list().unwrap();
@@ -17,9 +17,9 @@
     (folder, files)
 }
 
-/// Repeats a write as the disk thread does, until it works; `None` when the
-/// power goes.
-fn until_done(directory: &ModelDirectory, mut write: impl FnMut() -> Result<(), DiskError>) -> Option<()> {
+/// Repeats a write until it succeeds, as the disk thread does; `None` if the
+/// power was lost.
+fn retry_write(directory: &ModelDirectory, mut write: impl FnMut() -> Result<(), DiskError>) -> Option<()> {
     while write().is_err() {
         if !directory.has_power() {
             return None;
@@ -28,17 +28,17 @@
     Some(())
 }
 
-/// Does a step's effects on the disk in order, and gives the events they lead
-/// to; `None` when the power was lost.
-fn perform(directory: &ModelDirectory, folder: &DataFolder, effects: &[Effect]) -> Option<Vec<Event>> {
+/// Performs the disk effects of one step in order and returns the resulting
+/// events; `None` if the power was lost.
+fn perform_disk_effects(directory: &ModelDirectory, folder: &DataFolder, effects: &[Effect]) -> Option<Vec<Event>> {
     let mut events = Vec::new();
     for effect in effects {
         match effect {
             Effect::Save { n, name, bytes } => {
-                until_done(directory, || folder.claim_ownership().and_then(|()| folder.save(name, bytes)))?;
+                retry_write(directory, || folder.claim_ownership().and_then(|()| folder.save(name, bytes)))?;
                 events.push(Event::Saved(*n));
             }
-            Effect::Remove(name) => until_done(directory, || folder.remove(name))?,
+            Effect::Remove(name) => retry_write(directory, || folder.remove(name))?,
             _ => {}
         }
     }
--- a/crates/disk/tests/power_loss/model.rs
+++ b/crates/disk/tests/power_loss/model.rs
@@ -1,28 +1,28 @@
-//! A directory that loses power: until the directory is synced, each file
-//! made, renamed or removed is kept or lost by itself, and bytes that were not
-//! synced are torn.
+//! Model of a directory that can lose power. Each creation, rename or removal
+//! since the last sync of the directory is then kept or lost independently, and
+//! files with unsynced bytes are torn.
 use dw_disk::prelude::*;
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A small generator, so that a case is its seed.
+/// A minimal random generator (xorshift), so that a seed determines the case.
 #[derive(Clone)]
-pub struct Dice(u64);
+pub struct Random(u64);
 
-impl Dice {
-    pub fn new(seed: u64) -> Dice {
-        Dice(seed | 1)
+impl Random {
+    pub fn new(seed: u64) -> Random {
+        Random(seed | 1)
     }
-    /// Below `bound`.
+    /// A random number below `bound`.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         self.0 % bound
     }
-    pub fn flip(&mut self) -> bool {
+    pub fn coin_flip(&mut self) -> bool {
         self.below(2) == 0
     }
 }
@@ -32,12 +32,13 @@
 #[derive(Clone, Default)]
 struct Contents {
     written: Vec<u8>,
+    /// What surely survives a loss of power.
     synced: Vec<u8>,
 }
 
 #[derive(Clone)]
 enum NameChange {
-    Made(String, FileId),
+    Created(String, FileId),
     Renamed { from: String, to: String, file: FileId },
     Removed(String),
 }
@@ -49,13 +50,13 @@
     unsynced: Vec<NameChange>,
     /// Steps until the power is lost.
     steps_left: u64,
-    /// Writes that fail for want of space before one is taken.
-    full_for: u64,
-    dice: Dice,
+    /// How many writes fail for lack of space before one succeeds.
+    failing_writes: u64,
+    random: Random,
 }
 
 impl State {
-    /// One step towards the loss of power.
+    /// Counts one step towards the loss of power; fails once it is lost.
     fn step(&mut self) -> io::Result<()> {
         if self.steps_left == 0 {
             return Err(io::Error::other("no power"));
@@ -64,13 +65,14 @@
         Ok(())
     }
 
-    fn note(&mut self, change: NameChange) {
+    fn record_unsynced(&mut self, change: NameChange) {
         self.unsynced.push(change);
     }
 
-    fn keep(&mut self, change: NameChange) {
+    /// Makes a change of names durable.
+    fn make_durable(&mut self, change: NameChange) {
         match change {
-            NameChange::Made(name, file) => _ = self.durable_names.insert(name, file),
+            NameChange::Created(name, file) => _ = self.durable_names.insert(name, file),
             NameChange::Renamed { from, to, file } => {
                 if self.durable_names.get(&from) == Some(&file) {
                     self.durable_names.remove(&from);
@@ -81,14 +83,15 @@
         }
     }
 
+    /// Keeps all, some or none of the bytes of a file that were not synced.
     fn tear(&mut self, file: FileId) {
         let contents = &mut self.files[file];
         if contents.written == contents.synced {
             return;
         }
-        let kept = self.dice.below(contents.written.len() as u64 + 1) as usize;
-        let all_lost = self.dice.flip();
-        contents.written.truncate(kept);
+        let kept_bytes = self.random.below(contents.written.len() as u64 + 1) as usize;
+        let all_lost = self.random.coin_flip();
+        contents.written.truncate(kept_bytes);
         if all_lost {
             contents.written.clone_from(&contents.synced);
         }
@@ -96,7 +99,7 @@
     }
 }
 
-/// The directory; clones share one disk.
+/// The model directory; clones share one disk.
 #[derive(Clone)]
 pub struct ModelDirectory(Arc<Mutex<State>>);
 
@@ -108,8 +111,8 @@
             durable_names: BTreeMap::new(),
             unsynced: Vec::new(),
             steps_left: 0,
-            full_for: 0,
-            dice: Dice::new(seed),
+            failing_writes: 0,
+            random: Random::new(seed),
         })))
     }
 
@@ -117,8 +120,8 @@
         self.0.lock().unwrap()
     }
 
-    /// Power is there for so many steps.
-    pub fn power_for(&self, steps: u64) {
+    /// Lets the power last for the next `steps` steps.
+    pub fn supply_power_for(&self, steps: u64) {
         self.state().steps_left = steps;
     }
 
@@ -126,17 +129,18 @@
         self.state().steps_left > 0
     }
 
-    /// The disk is full for so many writes.
-    pub fn full_for(&self, writes: u64) {
-        self.state().full_for = writes;
+    /// Makes the next `writes` writes fail for lack of space.
+    pub fn fail_writes(&self, writes: u64) {
+        self.state().failing_writes = writes;
     }
 
-    /// The process dies and the files stay, or the power is lost.
+    /// Loses the power: each unsynced change of names is kept or lost, and files
+    /// are torn. When everything is kept, this is as if only the process ended.
     pub fn lose_power(&self) {
         let mut state = self.state();
         for change in std::mem::take(&mut state.unsynced) {
-            if state.dice.flip() {
-                state.keep(change);
+            if state.random.coin_flip() {
+                state.make_durable(change);
             }
         }
         for file in 0..state.files.len() {
@@ -161,9 +165,9 @@
     }
 
     fn read_at(&self, name: &str, offset: u64, len: u32) -> io::Result<Option<Bytes>> {
-        let whole = self.read(name)?;
-        let piece = whole.as_ref().and_then(|b| b.get(offset as usize..offset as usize + len as usize));
-        Ok(piece.map(Bytes::copy_from_slice))
+        let contents = self.read(name)?;
+        let range = contents.as_ref().and_then(|b| b.get(offset as usize..offset as usize + len as usize));
+        Ok(range.map(Bytes::copy_from_slice))
     }
 
     fn write_synced(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -175,13 +179,13 @@
                 let file = state.files.len();
                 state.files.push(Contents::default());
                 state.names.insert(name.to_string(), file);
-                state.note(NameChange::Made(name.to_string(), file));
+                state.record_unsynced(NameChange::Created(name.to_string(), file));
                 file
             }
         };
         state.files[file].written = bytes[..bytes.len() / 2].to_vec();
-        if state.full_for > 0 {
-            state.full_for -= 1;
+        if state.failing_writes > 0 {
+            state.failing_writes -= 1;
             return Err(io::Error::other("no space left"));
         }
         state.step()?;
@@ -196,7 +200,7 @@
         state.step()?;
         let Some(file) = state.names.remove(from) else { return Err(io::ErrorKind::NotFound.into()) };
         state.names.insert(to.to_string(), file);
-        state.note(NameChange::Renamed { from: from.to_string(), to: to.to_string(), file });
+        state.record_unsynced(NameChange::Renamed { from: from.to_string(), to: to.to_string(), file });
         Ok(())
     }
 
@@ -204,7 +208,7 @@
         let mut state = self.state();
         state.step()?;
         if state.names.remove(name).is_some() {
-            state.note(NameChange::Removed(name.to_string()));
+            state.record_unsynced(NameChange::Removed(name.to_string()));
         }
         Ok(())
     }
@@ -213,7 +217,7 @@
         let mut state = self.state();
         state.step()?;
         for change in std::mem::take(&mut state.unsynced) {
-            state.keep(change);
+            state.make_durable(change);
         }
         Ok(())
     }
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -1,5 +1,5 @@
-//! The files of a store, driven as a follower: what it acknowledged to the
-//! keeper is what it was told is saved.
+//! The files of a store that follows a keeper and acknowledges operations only
+//! once they are saved.
 use super::*;
 use dw_waitlist::prelude::*;
 use proptest::prelude::*;
@@ -61,18 +61,19 @@
     Op::Put(head, Stage::Work, body)
 }
 
-/// The keeper's ops, and what the follower acknowledged of them.
+/// The keeper's operations, and how many of them the follower acknowledged.
 #[derive(Default)]
 struct Keeper {
     ops: Vec<Op>,
-    made: u64,
+    messages_created: u64,
     acknowledged: u64,
-    mark: Option<Mark>,
-    fresh: u64,
+    /// The disk id that the follower named in its acknowledgements.
+    disk_id: Option<Mark>,
+    incarnations: u64,
 }
 
 impl Keeper {
-    /// The records and stages after the first `n` ops.
+    /// The records and their stages after the first `n` operations.
     fn records(&self, n: u64) -> BTreeMap<MessageId, Stage> {
         let mut records = BTreeMap::new();
         for op in &self.ops[..n as usize] {
@@ -85,64 +86,66 @@
         records
     }
 
-    /// A new op: messages come, end and are dropped, most of them soon.
-    fn next_op(&mut self, dice: &mut Dice) -> Op {
+    /// Chooses the next operation: messages are created, end and are dropped,
+    /// most of them soon.
+    fn next_op(&mut self, random: &mut Random) -> Op {
         let records = self.records(self.ops.len() as u64);
-        let pick = records.iter().nth(dice.below(records.len().max(1) as u64) as usize);
-        match (pick, dice.below(8)) {
+        let pick = records.iter().nth(random.below(records.len().max(1) as u64) as usize);
+        match (pick, random.below(8)) {
             (Some((id, Stage::Work)), 3..=4) => Op::Stage(id.clone(), Stage::Ended(Outcome::Succeeded)),
             (Some((id, _)), 5..=7) => Op::Drop(id.clone()),
             _ => {
-                self.made += 1;
-                put(self.made)
+                self.messages_created += 1;
+                put(self.messages_created)
             }
         }
     }
 
-    fn hear(&mut self, effects: &[Effect]) {
+    fn record_acknowledgements(&mut self, effects: &[Effect]) {
         for effect in effects {
             let Effect::Say(_, Msg::Appended { epoch: EPOCH, upto, mark, .. }) = effect else { continue };
             self.acknowledged = self.acknowledged.max(*upto);
-            self.mark = Some(*mark);
+            self.disk_id = Some(*mark);
         }
     }
 
-    /// One life of the follower, until the power is lost.
-    fn live(&mut self, directory: &ModelDirectory, dice: &mut Dice) -> Result<(), TestCaseError> {
+    /// One incarnation of the follower, until the power is lost.
+    fn run_until_power_loss(&mut self, directory: &ModelDirectory, random: &mut Random) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
-        self.fresh += 1;
-        let (mut store, effects) = Store::new(startup(), &files, Mark(self.fresh), Time(1));
+        self.incarnations += 1;
+        let (mut store, effects) = Store::new(startup(), &files, Mark(self.incarnations), Time(1));
         store.ledger.fold_at = 3;
-        self.judge(&store)?;
-        directory.power_for(1 + dice.below(120));
-        if self.settle(directory, &folder, &mut store, effects) {
+        self.check_state_read(&store)?;
+        directory.supply_power_for(1 + random.below(120));
+        if self.perform_all(directory, &folder, &mut store, effects) {
             let lag = Msg::Lag { place: place(), epoch: EPOCH, was: Some((Epoch::ZERO, 0)), mark: store.mark, short: false };
-            let mut alive = self.tell(directory, &folder, &mut store, lag);
-            while alive {
+            let mut has_power = self.deliver(directory, &folder, &mut store, lag);
+            while has_power {
                 let first = store.parts[&place()].n + 1;
-                for _ in 0..1 + dice.below(3) {
-                    let op = self.next_op(dice);
+                for _ in 0..1 + random.below(3) {
+                    let op = self.next_op(random);
                     self.ops.push(op);
                 }
-                directory.full_for(dice.below(2));
+                directory.fail_writes(random.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
                 let append = Msg::Append { place: place(), epoch: EPOCH, first, ops };
-                alive = self.tell(directory, &folder, &mut store, append);
+                has_power = self.deliver(directory, &folder, &mut store, append);
             }
         }
         directory.lose_power();
         Ok(())
     }
 
-    /// What is read back holds all that was acknowledged, and is exactly what
-    /// the history makes of as many ops.
-    fn judge(&mut self, store: &Store) -> Result<(), TestCaseError> {
-        if let Some(mark) = self.mark {
-            prop_assert_eq!(store.mark, mark, "{} ops were acknowledged", self.acknowledged);
+    /// Checks that the state read back includes all acknowledged operations and
+    /// is exactly the result of as many operations as it claims to hold. The
+    /// operations beyond those are removed from the history.
+    fn check_state_read(&mut self, store: &Store) -> Result<(), TestCaseError> {
+        if let Some(disk_id) = self.disk_id {
+            prop_assert_eq!(store.mark, disk_id, "{} operations were acknowledged", self.acknowledged);
         }
         let part = store.parts.get(&place());
         let n = part.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
-        prop_assert!(n >= self.acknowledged, "{n} ops of {} acknowledged", self.acknowledged);
+        prop_assert!(n >= self.acknowledged, "{n} operations are read back of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
             part.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
         prop_assert_eq!(found, self.records(n));
@@ -150,17 +153,18 @@
         Ok(())
     }
 
-    fn tell(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, msg: Msg) -> bool {
+    /// Delivers a message to the follower; false if the power was lost.
+    fn deliver(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, msg: Msg) -> bool {
         let effects = store.step(Event::Hear { from: daemon("store-2"), msg }, Time(2));
-        self.settle(directory, folder, store, effects)
+        self.perform_all(directory, folder, store, effects)
     }
 
-    /// Does all that follows; false when the power was lost.
-    fn settle(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, effects: Vec<Effect>) -> bool {
+    /// Performs effects and those that follow from them; false if the power was lost.
+    fn perform_all(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, effects: Vec<Effect>) -> bool {
         let mut effects = effects;
         loop {
-            self.hear(&effects);
-            let Some(events) = perform(directory, folder, &effects) else { return false };
+            self.record_acknowledgements(&effects);
+            let Some(events) = perform_disk_effects(directory, folder, &effects) else { return false };
             if events.is_empty() {
                 return true;
             }
@@ -173,11 +177,11 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn what_a_follower_acknowledged_is_read_back_and_nothing_dropped_returns(seed in any::<u64>()) {
-        let mut dice = Dice::new(seed);
+        let mut random = Random::new(seed);
         let directory = ModelDirectory::new(seed.rotate_left(29));
         let mut keeper = Keeper::default();
         for _ in 0..5 {
-            keeper.live(&directory, &mut dice)?;
+            keeper.run_until_power_loss(&directory, &mut random)?;
         }
     }
 }
