--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub struct Posts {
     /// Invariant: every hand named here is `Waiting`, or gone.
-    lines: BTreeMap<Goal, VecDeque<HandId>>,
+    lines: BTreeMap<Destination, VecDeque<HandId>>,
     sites: BTreeMap<String, Site>,
     /// The duties of reach held, with their epochs.
     held: BTreeMap<Duty, Epoch>,
@@ -17,8 +17,8 @@
 
 /// An address on no list. Invariant: `open` counts the calls under way there.
 struct Site {
-    pace: Option<Allowance>,
-    breaker: Breaker,
+    pace: Option<RateLimiter>,
+    breaker: CircuitBreaker,
     open: u32,
     /// Requests it runs at once, by its own word.
     slots: u32,
@@ -27,7 +27,7 @@
 
 impl Default for Site {
     fn default() -> Site {
-        Site { pace: None, breaker: Breaker::new(3, Span::secs(1)), open: 0, slots: 0, full_until: Time(0) }
+        Site { pace: None, breaker: CircuitBreaker::new(3, Span::secs(1)), open: 0, slots: 0, full_until: Time(0) }
     }
 }
 
@@ -49,7 +49,7 @@
 impl Delivery {
     /// The time a hand needs to be begun at all.
     pub(super) fn least(&self, h: &Hand) -> Span {
-        match h.offer.goal {
+        match h.offer.destination {
             None => Span::millis(300),
             Some(_) => self.span_of(&h.offer) + SLACK,
         }
@@ -58,18 +58,18 @@
     /// How long one attempt of a routed message may last; zero when its route
     /// is not in force.
     fn span_of(&self, o: &Offer) -> Span {
-        let by_charter = match o.stage {
-            Stage::Work => self.link.rules.routes.get(&o.head.route).map_or(Span::ZERO, |r| r.attempt),
-            _ => CALL_BACK_LIMIT,
+        let by_config = match o.stage {
+            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt),
+            _ => CALLBACK_TIMEOUT,
         };
-        o.limited(by_charter)
+        o.attempt_timeout(by_config)
     }
 
     /// Whether something is open under a duty of reach.
     pub(super) fn reaching(&self, duty: &Duty) -> bool {
         let under = |at: &Aim| match at {
-            Aim::Worker(w) => self.workers.get(w).is_none_or(|w| Duty::of_worker(&w.info.zone, &w.info.id) == *duty),
-            Aim::Address(a) => Duty::of_address(a) == *duty,
+            Aim::Worker(w) => self.workers.get(w).is_none_or(|w| Duty::for_worker(&w.info.zone, &w.info.id) == *duty),
+            Aim::Address(a) => Duty::for_unlisted_address(a) == *duty,
         };
         self.calls.values().any(|c| matches!(c, Called::Post { at, .. } if under(at)))
     }
@@ -77,7 +77,7 @@
     /// Duties of reach that are new here or gone; true when any is.
     pub(super) fn learn_reach(&mut self, grants: &[Grant], now: Time) -> bool {
         let held: BTreeMap<Duty, Epoch> =
-            grants.iter().filter(|g| matches!(g.duty, Duty::Reach(_))).map(|g| (g.duty.clone(), g.epoch)).collect();
+            grants.iter().filter(|g| matches!(g.duty, Duty::TargetShard(_))).map(|g| (g.duty.clone(), g.epoch)).collect();
         if held == self.posts.held {
             return false;
         }
@@ -85,12 +85,12 @@
         let old = std::mem::replace(&mut self.posts.held, held);
         let fresh: BTreeSet<&Duty> = self.posts.held.iter().filter(|(d, e)| old.get(d) != Some(e)).map(|x| x.0).collect();
         for (addr, site) in self.posts.sites.iter_mut() {
-            if fresh.contains(&Duty::of_address(addr)) {
+            if fresh.contains(&Duty::for_unlisted_address(addr)) {
                 site.pace = None;
             }
         }
         for w in self.workers.values_mut() {
-            if fresh.contains(&Duty::of_worker(&w.info.zone, &w.info.id)) {
+            if fresh.contains(&Duty::for_worker(&w.info.zone, &w.info.id)) {
                 w.cold_next = now + Span::millis(400);
             }
         }
@@ -99,8 +99,8 @@
 
     /// A zone that is taken back may have turned cold meanwhile.
     pub(super) fn learn_orders(&mut self, now: Time) {
-        let back: Vec<Zone> = self.posts.empty.difference(&self.link.empty).cloned().collect();
-        self.posts.empty.clone_from(&self.link.empty);
+        let back: Vec<Zone> = self.posts.empty.difference(&self.link.emptied_zones).cloned().collect();
+        self.posts.empty.clone_from(&self.link.emptied_zones);
         for w in self.workers.values_mut().filter(|w| back.contains(&w.info.zone)) {
             let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_ms));
             w.cold_until = w.cold_until.max(now + cold);
@@ -109,7 +109,7 @@
     }
 
     fn may_reach(&self, w: &Fitness, now: Time) -> bool {
-        self.link.may(&Duty::of_worker(&w.info.zone, &w.info.id), now).is_some()
+        self.link.active_epoch(&Duty::for_worker(&w.info.zone, &w.info.id), now).is_some()
     }
 
     fn slots_of(&self, w: &Fitness) -> u32 {
@@ -123,18 +123,18 @@
         // One that could not be reached is asked whether it is well, where
         // it can be asked, before a message goes there.
         let asked = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health.is_empty());
-        let unasked = w.down.wary() && asked();
-        w.usable(&self.link, now) && !w.gone && !w.sick.open(now) && !unasked
+        let unasked = w.down.is_tripped() && asked();
+        w.usable(&self.link, now) && !w.gone && !w.sick.is_open(now) && !unasked
     }
 
-    /// How much of each service this daemon takes from each of `keepers`
-    /// stores; none while the charter has no routes.
-    pub(super) fn reach(&self, keepers: usize, now: Time) -> Option<Reach> {
+    /// How much of each service this daemon takes from each of `leaders`
+    /// stores; none while the configuration has no routes.
+    pub(super) fn reach(&self, leaders: usize, now: Time) -> Option<RoutedCapacity> {
         if self.link.rules.routes.is_empty() {
             return None;
         }
         let shut = self.leaving.is_some() || self.hands.len() >= self.startup.hands_max;
-        let each = |n: u32| n.div_ceil(keepers.max(1) as u32);
+        let each = |n: u32| n.div_ceil(leaders.max(1) as u32);
         let mut services: BTreeMap<String, u32> = BTreeMap::new();
         for w in self.workers.values().filter(|w| !shut && self.fit(w, now) && self.may_reach(w, now)) {
             *services.entry(w.info.service.clone()).or_default() += self.slots_of(w);
@@ -143,20 +143,20 @@
             // More than a part each, as work does not come evenly.
             *n = each(*n * 2).max(1);
         }
-        let mut addresses: Vec<Duty> = self.link.held.live(now).into_iter().map(|x| x.0).collect();
-        addresses.retain(|d| !shut && matches!(d, Duty::Reach(_)));
+        let mut addresses: Vec<Duty> = self.link.leases.active(now).into_iter().map(|x| x.0).collect();
+        addresses.retain(|d| !shut && matches!(d, Duty::TargetShard(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
-            if shut || self.link.may(&Duty::of_address(&s.address), now).is_none() {
+            if shut || self.link.active_epoch(&Duty::for_unlisted_address(&s.address), now).is_none() {
                 continue;
             }
             let room = match self.posts.sites.get(&s.address) {
-                Some(x) if x.breaker.open(now) => 0,
-                Some(x) if x.breaker.wary() => 1,
+                Some(x) if x.breaker.is_open(now) => 0,
+                Some(x) if x.breaker.is_tripped() => 1,
                 _ => each(self.site_most(s) * 2).max(2),
             };
             services.insert(s.name.clone(), room);
         }
-        Some(Reach { life: self.startup.me.life, services: services.into_iter().collect(), addresses })
+        Some(RoutedCapacity { incarnation: self.startup.me.incarnation, services: services.into_iter().collect(), addresses })
     }
 
     /// Calls open at once to a service's one address.
@@ -168,18 +168,18 @@
     }
 
     /// Takes an offer of a routed message.
-    pub(super) fn on_post(&mut self, id: HandId, goal: Goal, offer: Offer, asked: Time, now: Time) {
-        if self.hands.contains_key(&id) || !offer.head.sound(&offer.body) {
+    pub(super) fn on_post(&mut self, id: HandId, goal: Destination, offer: Offer, asked: Time, now: Time) {
+        if self.hands.contains_key(&id) || !offer.header.matches(&offer.body) {
             return;
         }
         let span = self.span_of(&offer);
         if span == Span::ZERO {
             // Its route is not in force here, or not yet.
             self.counts.stale += 1;
-            self.hands.insert(id.clone(), Hand { offer, state: State::Waiting, hard: asked + ROUTED_GRACE });
-            return self.finish(&id, Told::Unstarted, now);
+            self.hands.insert(id.clone(), Hand { offer, state: State::Waiting, hard: asked + MAX_ROUTED_START_DELAY });
+            return self.finish(&id, AttemptOutcome::NotStarted, now);
         }
-        let hard = asked + span + ROUTED_GRACE;
+        let hard = asked + span + MAX_ROUTED_START_DELAY;
         self.posts.lines.entry(goal).or_default().push_back(id.clone());
         self.hands.insert(id, Hand { offer, state: State::Waiting, hard });
     }
@@ -188,24 +188,24 @@
     pub(super) fn return_posts(&mut self, now: Time) {
         for id in std::mem::take(&mut self.posts.lines).into_values().flatten() {
             if self.hands.get(&id).is_some_and(|h| h.state == State::Waiting) {
-                self.finish(&id, Told::Unstarted, now);
+                self.finish(&id, AttemptOutcome::NotStarted, now);
             }
         }
     }
 
     /// Begins what can be begun now.
     pub(super) fn start_posts(&mut self, now: Time) {
-        let goals: Vec<Goal> = self.posts.lines.keys().cloned().collect();
+        let goals: Vec<Destination> = self.posts.lines.keys().cloned().collect();
         for goal in goals {
             while let Some(id) = self.posts.lines.get(&goal).and_then(|l| l.front().cloned()) {
                 let waits = self.hands.get(&id).is_some_and(|h| h.state == State::Waiting);
                 let aim = match (&goal, waits) {
                     (_, false) => None,
-                    (Goal::Address(a), _) => match self.may_address(a, None, now) {
+                    (Destination::Address(a), _) => match self.may_address(a, None, now) {
                         true => Some((a.clone(), Aim::Address(a.clone()))),
                         false => break,
                     },
-                    (Goal::Service(s), _) => match self.match_post(s, now) {
+                    (Destination::Service(s), _) => match self.match_post(s, now) {
                         Some(x) => Some(x),
                         None => break,
                     },
@@ -223,21 +223,21 @@
 
     /// Whether an address may be sent to now.
     fn may_address(&mut self, addr: &str, service: Option<&Service>, now: Time) -> bool {
-        if self.link.may(&Duty::of_address(addr), now).is_none() {
+        if self.link.active_epoch(&Duty::for_unlisted_address(addr), now).is_none() {
             return false;
         }
         let most = service.map_or(SITE_SLOTS, |s| self.site_most(s));
         let rate = service.map_or(0.0, |s| s.rate);
         let site = self.posts.sites.entry(addr.to_string()).or_default();
         if rate > 0.0 {
-            let pace = site.pace.get_or_insert_with(|| Allowance::per(rate, now));
-            pace.set(rate);
-            if pace.room(now) == 0 {
+            let pace = site.pace.get_or_insert_with(|| RateLimiter::with_endpoint_rate(rate, now));
+            pace.set_endpoint_rate(rate);
+            if pace.available(now) == 0 {
                 return false;
             }
         }
-        let most = if site.breaker.wary() { 1 } else { most };
-        !site.breaker.open(now) && site.open < most && now >= site.full_until
+        let most = if site.breaker.is_tripped() { 1 } else { most };
+        !site.breaker.is_open(now) && site.open < most && now >= site.full_until
     }
 
     /// Where a message of a service goes now: the least busy of the workers
@@ -251,7 +251,7 @@
         let mine = self.workers.values().filter(|w| w.info.service == service && self.may_reach(w, now));
         let free = |w: &&Fitness| {
             let cold = now < w.cold_until && now < w.cold_next;
-            !cold && self.fit(w, now) && w.busy < self.slots_of(w) && now >= w.full_until && !(w.sick.wary() && w.busy > 0)
+            !cold && self.fit(w, now) && w.busy < self.slots_of(w) && now >= w.full_until && !(w.sick.is_tripped() && w.busy > 0)
         };
         let turn = self.next_call;
         let best = mine.filter(free).min_by_key(|w| {
@@ -264,18 +264,22 @@
     fn start_post(&mut self, id: HandId, addr: String, at: Aim, now: Time) {
         let Some(h) = self.hands.get(&id) else { return };
         let span = self.span_of(&h.offer);
-        let (stage, seal, body) = (h.offer.stage, h.offer.head.seal.clone(), h.offer.body.clone());
-        let parcel = h.offer.head.parcel.clone();
-        let late = span == Span::ZERO || h.hard.left(now) < span + SLACK;
-        let (false, Some(parcel)) = (late, parcel) else { return self.finish(&id, Told::Unstarted, now) };
+        let (stage, seal, body) = (h.offer.stage, h.offer.header.completion_token.clone(), h.offer.body.clone());
+        let parcel = h.offer.header.caller_request.clone();
+        let late = span == Span::ZERO || h.hard.remaining(now) < span + SLACK;
+        let (false, Some(parcel)) = (late, parcel) else { return self.finish(&id, AttemptOutcome::NotStarted, now) };
         let worker = match &at {
             Aim::Worker(w) => Some(w.clone()),
             Aim::Address(_) => None,
         };
         let errand = match stage {
-            Stage::Owing(Outcome::Succeeded) => Errand::Tell { parcel, standing: Standing::Done(seal) },
-            Stage::Owing(_) => Errand::Tell { parcel, standing: Standing::Dead },
-            _ => Errand::Run { parcel, worker, span },
+            Stage::EndedAwaitingCallback(Outcome::Succeeded) => {
+                CallKind::Callback { caller_request: parcel, message_status: RoutedMessageStatus::Done(seal) }
+            }
+            Stage::EndedAwaitingCallback(_) => {
+                CallKind::Callback { caller_request: parcel, message_status: RoutedMessageStatus::Dead }
+            }
+            _ => CallKind::RunMessage { caller_request: parcel, worker, timeout: span },
         };
         match &at {
             Aim::Worker(w) => {
@@ -290,114 +294,115 @@
                 if let Some(s) = self.posts.sites.get_mut(a) {
                     s.open += 1;
                     if let Some(p) = s.pace.as_mut() {
-                        p.take(now);
+                        p.try_acquire(now);
                     }
                 }
             }
         }
-        let call = Call { post: true, addr, path: String::new(), headers: Vec::new(), body, limit: span + LATE, errand };
+        let call =
+            Call { is_post: true, addr, path: String::new(), headers: Vec::new(), body, timeout: span + LATE, kind: errand };
         let call = self.call(Called::Post { hand: id.clone(), at }, call);
         if let Some(h) = self.hands.get_mut(&id) {
             h.state = State::Running(call);
         }
     }
 
-    pub(super) fn post_back(&mut self, id: HandId, at: Aim, reply: Reply, now: Time) {
+    pub(super) fn post_back(&mut self, id: HandId, at: Aim, reply: CallResult, now: Time) {
         let end = match &reply {
-            Reply::Ran { end, .. } => end.clone(),
-            Reply::Lost(Sent::No) => RunEnd::NotRun { gone: false },
-            _ => RunEnd::Doubt(DoubtCause::Lost),
+            CallResult::RunFinished { outcome: end, .. } => end.clone(),
+            CallResult::Failed(SendState::NotSent) => RunOutcome::NotRun { worker_gone: false },
+            _ => RunOutcome::Unknown(UnknownOutcomeCause::CallFailed),
         };
         match &at {
             Aim::Worker(w) => self.hear_post_worker(w, &reply, &end, now),
             Aim::Address(a) => self.hear_site(a, &reply, &end, now),
         }
         match end {
-            RunEnd::Done(seal) => self.finish_sealed(&id, Told::Success, seal, now),
-            RunEnd::Failed => self.finish(&id, Told::Failed, now),
-            RunEnd::Never => self.finish(&id, Told::Never, now),
-            RunEnd::Doubt(cause) => {
+            RunOutcome::Done(seal) => self.finish_sealed(&id, AttemptOutcome::Success, seal, now),
+            RunOutcome::Failed => self.finish(&id, AttemptOutcome::Failed, now),
+            RunOutcome::PermanentFailure => self.finish(&id, AttemptOutcome::PermanentFailure, now),
+            RunOutcome::Unknown(cause) => {
                 self.note_doubt(&id, &at, cause);
-                self.finish(&id, Told::Doubt, now);
+                self.finish(&id, AttemptOutcome::Unknown, now);
             }
-            RunEnd::NotRun { .. } => self.again(id, now),
+            RunOutcome::NotRun { .. } => self.again(id, now),
         }
     }
 
-    fn note_doubt(&mut self, id: &HandId, at: &Aim, cause: DoubtCause) {
+    fn note_doubt(&mut self, id: &HandId, at: &Aim, cause: UnknownOutcomeCause) {
         let Some(hand) = self.hands.get(id) else { return };
-        let (place, head, attempt) = (&hand.offer.place, &hand.offer.head, hand.offer.attempt);
+        let (place, head, attempt) = (&hand.offer.partition, &hand.offer.header, hand.offer.attempt);
         let text = format!("{place} {} attempt {attempt} at {at}: {cause}", head.id);
-        self.out.push(Effect::Note(Note::AttemptInDoubt, text));
+        self.out.push(Effect::Log(LogEvent::AttemptOutcomeUnknown, text));
     }
 
     /// It did not run: another worker may take it at once.
     fn again(&mut self, id: HandId, now: Time) {
         let Some(h) = self.hands.get(&id) else { return };
-        let service = matches!(h.offer.goal, Some(Goal::Service(_)));
-        if !service || h.hard.left(now) < self.least(h) || self.leaving.is_some() {
-            return self.finish(&id, Told::Unstarted, now);
+        let service = matches!(h.offer.destination, Some(Destination::Service(_)));
+        if !service || h.hard.remaining(now) < self.least(h) || self.leaving.is_some() {
+            return self.finish(&id, AttemptOutcome::NotStarted, now);
         }
         let Some(h) = self.hands.get_mut(&id) else { return };
         h.state = State::Waiting;
-        let Some(goal) = h.offer.goal.clone() else { return };
+        let Some(goal) = h.offer.destination.clone() else { return };
         self.posts.lines.entry(goal).or_default().push_front(id);
     }
 
-    fn hear_post_worker(&mut self, id: &WorkerId, reply: &Reply, end: &RunEnd, now: Time) {
+    fn hear_post_worker(&mut self, id: &WorkerId, reply: &CallResult, end: &RunOutcome, now: Time) {
         let Some(f) = self.workers.get_mut(id) else { return };
         f.busy = f.busy.saturating_sub(1);
         f.seen = now;
-        if let Reply::Ran { load, .. } = reply {
+        if let CallResult::RunFinished { load, .. } = reply {
             f.answered = now;
             f.load = load.as_ref().map_or(f.load, |l| l.running + l.waiting);
         }
         let mut note = None;
         match (reply, end) {
-            (Reply::Lost(Sent::No), _) => {
-                if f.down.fail(now) {
-                    note = Some((Note::WorkerEjected, format!("{id} can't be reached")));
+            (CallResult::Failed(SendState::NotSent), _) => {
+                if f.down.record_failure(now) {
+                    note = Some((LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
-            (_, RunEnd::Doubt(_)) => {
-                if f.sick.fail(now) {
-                    note = Some((Note::WorkerEjected, id.to_string()));
+            (_, RunOutcome::Unknown(_)) => {
+                if f.sick.record_failure(now) {
+                    note = Some((LogEvent::WorkerEjected, id.to_string()));
                 }
             }
-            (_, RunEnd::NotRun { gone: true }) => {
+            (_, RunOutcome::NotRun { worker_gone: true }) => {
                 f.gone = true;
-                note = Some((Note::WorkerEjected, format!("{id} is not there any more")));
+                note = Some((LogEvent::WorkerEjected, format!("{id} is not there any more")));
             }
-            (_, RunEnd::NotRun { gone: false }) => f.full_until = now + FULL,
+            (_, RunOutcome::NotRun { worker_gone: false }) => f.full_until = now + FULL,
             _ => {
-                if f.down.pass() | f.sick.pass() {
-                    note = Some((Note::WorkerBack, id.to_string()));
+                if f.down.record_success() | f.sick.record_success() {
+                    note = Some((LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
         }
         if let Some((note, text)) = note {
-            self.out.push(Effect::Note(note, text));
+            self.out.push(Effect::Log(note, text));
             self.send_rooms(now);
         }
     }
 
-    fn hear_site(&mut self, addr: &str, reply: &Reply, end: &RunEnd, now: Time) {
+    fn hear_site(&mut self, addr: &str, reply: &CallResult, end: &RunOutcome, now: Time) {
         let Some(s) = self.posts.sites.get_mut(addr) else { return };
         s.open = s.open.saturating_sub(1);
-        if let Reply::Ran { load: Some(l), .. } = reply {
+        if let CallResult::RunFinished { load: Some(l), .. } = reply {
             s.slots = l.slots;
         }
-        let lost = matches!(end, RunEnd::Doubt(_)) || matches!(reply, Reply::Lost(_));
+        let lost = matches!(end, RunOutcome::Unknown(_)) || matches!(reply, CallResult::Failed(_));
         let note = match end {
-            _ if lost => s.breaker.fail(now).then_some(Note::BreakerOpen),
-            RunEnd::NotRun { .. } => {
+            _ if lost => s.breaker.record_failure(now).then_some(LogEvent::BreakerOpen),
+            RunOutcome::NotRun { .. } => {
                 s.full_until = now + FULL;
                 None
             }
-            _ => s.breaker.pass().then_some(Note::BreakerShut),
+            _ => s.breaker.record_success().then_some(LogEvent::BreakerClosed),
         };
         if let Some(note) = note {
-            self.out.push(Effect::Note(note, addr.to_string()));
+            self.out.push(Effect::Log(note, addr.to_string()));
             self.send_rooms(now);
         }
     }
@@ -411,7 +416,7 @@
         let due: Vec<(WorkerId, String, String)> = self
             .workers
             .values()
-            .filter(|w| w.down.wary() && !w.down.open(now) && !w.gone && w.busy == 0)
+            .filter(|w| w.down.is_tripped() && !w.down.is_open(now) && !w.gone && w.busy == 0)
             .filter(|w| now.since(w.probed) >= Span::millis(500) && self.may_reach(w, now))
             .filter_map(|w| {
                 let s = self.link.rules.services.get(&w.info.service)?;
@@ -424,23 +429,23 @@
                 w.probed = now;
             }
             let limit = Span::millis(500);
-            let (headers, body, errand) = (Vec::new(), Bytes::new(), Errand::Health { path });
-            let call = Call { post: false, addr, path: String::new(), headers, body, limit, errand };
+            let (headers, body, errand) = (Vec::new(), Bytes::new(), CallKind::HealthCheck { path });
+            let call = Call { is_post: false, addr, path: String::new(), headers, body, timeout: limit, kind: errand };
             self.call(Called::Probe { worker }, call);
         }
     }
 
-    pub(super) fn probed(&mut self, id: WorkerId, reply: Reply, now: Time) {
+    pub(super) fn probed(&mut self, id: WorkerId, reply: CallResult, now: Time) {
         let Some(f) = self.workers.get_mut(&id) else { return };
         match reply {
-            Reply::Health { worker: Some(w), .. } if w != id => f.gone = true,
-            Reply::Health { well: true, .. } => {
-                if f.down.pass() {
-                    self.out.push(Effect::Note(Note::WorkerBack, id.to_string()));
+            CallResult::Health { worker: Some(w), .. } if w != id => f.gone = true,
+            CallResult::Health { well: true, .. } => {
+                if f.down.record_success() {
+                    self.out.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                     self.send_rooms(now);
                 }
             }
-            _ => _ = f.down.fail(now),
+            _ => _ = f.down.record_failure(now),
         }
     }
 }
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -1,8 +1,8 @@
-//! What this daemon takes from each keeper, and how it tells them.
+//! What this daemon takes from each leader, and how it tells them.
 use crate::prelude::*;
 
-/// What one keeper is told: room for each duty, and the epochs known.
-type Rooms = (Vec<Room>, Vec<(Place, Epoch)>);
+/// What one leader is told: room for each duty, and the epochs known.
+type Rooms = (Vec<Capacity>, Vec<(PartitionId, Epoch)>);
 
 impl Delivery {
     pub(super) fn room(&mut self, duty: &Duty, now: Time) -> u32 {
@@ -10,7 +10,7 @@
             return 0;
         }
         match duty {
-            Duty::Keep(_) | Duty::Reach(_) => 0,
+            Duty::Lead(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(place) => {
                 let Some(rule) = self.link.rules.rule_of(place) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
@@ -28,39 +28,39 @@
             Duty::Endpoint(name) => {
                 let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
                 let Some(desk) = self.desks.get_mut(name) else { return 0 };
-                if desk.breaker.open(now) {
+                if desk.breaker.is_open(now) {
                     return 0;
                 }
-                if desk.breaker.wary() {
+                if desk.breaker.is_tripped() {
                     return 1;
                 }
                 // A second's worth from each store: so all tenants' messages
                 // stand here to take their turns.
-                slots.min(desk.allowance.pace() as u32).max(1)
+                slots.min(desk.allowance.sends_per_second() as u32).max(1)
             }
         }
     }
 
-    /// Tells each keeper how much it may hand over, and what is in hand.
+    /// Tells each leader how much it may hand over, and what is in hand.
     pub(super) fn send_rooms(&mut self, now: Time) {
         self.roomed = now;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return;
         }
         let mut by: BTreeMap<Daemon, Rooms> = BTreeMap::new();
-        for (p, x) in &self.link.places {
-            by.entry(x.keeper.clone()).or_default().1.push((p.clone(), x.epoch));
+        for (p, x) in &self.link.partition_locations {
+            by.entry(x.leader.clone()).or_default().1.push((p.clone(), x.epoch));
         }
-        for (duty, epoch) in self.link.held.live(now) {
-            if matches!(duty, Duty::Reach(_)) {
+        for (duty, epoch) in self.link.leases.active(now) {
+            if matches!(duty, Duty::TargetShard(_)) {
                 continue;
             }
             let room = self.room(&duty, now);
-            let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
-            let one = Room { duty: duty.clone(), epoch, room, since };
-            for (keeper, (rooms, places)) in by.iter_mut() {
+            let since = self.link.held_since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
+            let one = Capacity { duty: duty.clone(), epoch, capacity: room, held_for: since };
+            for (leader, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
-                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.keeper == *keeper),
+                    Duty::Deliver(p) => self.link.partition_locations.get(p).is_some_and(|x| x.leader == *leader),
                     _ => !places.is_empty(),
                 };
                 if here {
@@ -69,18 +69,27 @@
             }
         }
         let reach = self.reach(by.len(), now);
-        for (keeper, (duties, places)) in by {
+        for (leader, (duties, places)) in by {
             if duties.is_empty() && reach.is_none() {
                 continue;
             }
-            let here: BTreeSet<&Place> = places.iter().map(|p| &p.0).collect();
+            let here: BTreeSet<&PartitionId> = places.iter().map(|p| &p.0).collect();
             let holding = self
                 .hands
                 .values()
-                .filter(|h| here.contains(&h.offer.place))
-                .map(|h| Holding { place: h.offer.place.clone(), id: h.offer.head.id.clone() })
+                .filter(|h| here.contains(&h.offer.partition))
+                .map(|h| InFlightAttempt { partition: h.offer.partition.clone(), id: h.offer.header.id.clone() })
                 .collect();
-            self.say(&keeper, Msg::Room { asked: now, duties, places, holding, reach: reach.clone() });
+            self.say(
+                &leader,
+                PeerMessage::Capacity {
+                    requested_at: now,
+                    duties,
+                    partitions: places,
+                    in_flight: holding,
+                    routed: reach.clone(),
+                },
+            );
         }
     }
 }
--- a/crates/delivery/tests/answers_and_news.rs
+++ b/crates/delivery/tests/answers_and_news.rs
@@ -2,14 +2,14 @@
 //! each order. Issue 32: whatever the order, a success that was read is told as
 //! one, and no doubt is told of its attempt.
 mod told;
-use dw_delivery::prelude::{Event, Reply, RunEnd, Span, Told as End};
+use dw_delivery::prelude::{AttemptOutcome as End, CallResult, Event, RunOutcome, Span};
 use told::{Known, Told};
 
 /// What may change while an attempt is under way.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Change {
     /// Another store keeps the partition.
-    Keeper,
+    Leader,
     /// The worker is gone from the list.
     Worker,
     /// The route is dropped.
@@ -22,7 +22,7 @@
     Time,
 }
 
-const ALL: [Change; 6] = [Change::Keeper, Change::Worker, Change::Route, Change::Grant, Change::Stop, Change::Time];
+const ALL: [Change; 6] = [Change::Leader, Change::Worker, Change::Route, Change::Grant, Change::Stop, Change::Time];
 
 /// Every order of some changes.
 fn orders(rest: &[Change]) -> Vec<Vec<Change>> {
@@ -42,7 +42,7 @@
 
 /// An attempt that is under way at a worker.
 fn under_way() -> (Told, Known) {
-    let known = Known { keeper: 1, worker: true, route: true, granted: true };
+    let known = Known { leader: 1, worker: true, route: true, granted: true };
     let mut told = Told::new();
     told.tell(known);
     told.run(Span::millis(600));
@@ -54,11 +54,11 @@
 
 fn change(told: &mut Told, known: &mut Known, change: Change) {
     match change {
-        Change::Keeper => known.keeper = 2,
+        Change::Leader => known.leader = 2,
         Change::Worker => known.worker = false,
         Change::Route => known.route = false,
         Change::Grant => known.granted = false,
-        Change::Stop => return told.step(Event::Leave),
+        Change::Stop => return told.step(Event::Shutdown),
         Change::Time => return told.run(Span::millis(1_200)),
     }
     told.tell(*known);
@@ -66,8 +66,8 @@
 
 fn answer(told: &mut Told) {
     let (call, _) = told.begun[0];
-    let done = Reply::Ran { end: RunEnd::Done("seal".into()), load: None };
-    told.step(Event::Back(call, done));
+    let done = CallResult::RunFinished { outcome: RunOutcome::Done("seal".into()), load: None };
+    told.step(Event::CallFinished(call, done));
 }
 
 #[test]
@@ -85,9 +85,9 @@
                 answer(&mut told);
             }
             told.run(Span::secs(1));
-            let ends: Vec<End> = told.settled.iter().map(|s| s.told).collect();
+            let ends: Vec<End> = told.settled.iter().map(|s| s.outcome).collect();
             assert!(!ends.is_empty() && ends.iter().all(|end| *end == End::Success), "{order:?}, {answered_after}: {ends:?}");
-            assert!(told.settled.iter().all(|s| s.seal == "seal"));
+            assert!(told.settled.iter().all(|s| s.completion_token == "seal"));
             assert_eq!(told.begun.len(), 1, "{order:?}, {answered_after}: it was begun again");
         }
     }
--- a/crates/delivery/tests/told/mod.rs
+++ b/crates/delivery/tests/told/mod.rs
@@ -14,8 +14,8 @@
     Daemon(name.to_string())
 }
 
-fn place() -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 fn epoch(count: u64) -> Epoch {
@@ -28,8 +28,8 @@
         zone: Zone("z1".into()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
     /// Which store keeps the partition.
-    pub keeper: u64,
+    pub leader: u64,
     /// The worker is on the list.
     pub worker: bool,
     /// The route is in force.
@@ -71,8 +71,8 @@
     pub cold: Span,
     pub slots: u32,
     pub begun: Vec<(CallId, Call)>,
-    pub holding: Vec<Holding>,
-    pub settled: Vec<Settled>,
+    pub holding: Vec<InFlightAttempt>,
+    pub settled: Vec<AttemptResult>,
 }
 
 impl Told {
@@ -81,7 +81,7 @@
             me: member("delivery-1"),
             seeds: vec![daemon("placement-1")],
             pull: Span::millis(300),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             hands_max: 64,
             cold_slack: 5.0,
             seed: 1,
@@ -104,10 +104,10 @@
     pub fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Call(id, call) if matches!(call.errand, Errand::Run { .. }) => self.begun.push((id, call)),
-                Effect::Say(_, Msg::Need { asked, .. }) => self.asked = asked,
-                Effect::Say(_, Msg::Room { holding, .. }) => self.holding = holding,
-                Effect::Say(_, Msg::Settled { all }) => self.settled.extend(all),
+                Effect::Call(id, call) if matches!(call.kind, CallKind::RunMessage { .. }) => self.begun.push((id, call)),
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => self.asked = asked,
+                Effect::Send(_, PeerMessage::Capacity { in_flight: holding, .. }) => self.holding = holding,
+                Effect::Send(_, PeerMessage::AttemptResults { entries: all }) => self.settled.extend(all),
                 _ => {}
             }
         }
@@ -117,40 +117,55 @@
         let end = self.now + span;
         while self.now < end {
             self.now += Span::millis(20);
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 
-    /// News of the partition's keeper, and of the worker from `workers` 2 on.
-    pub fn news(&mut self, keeper: u64, workers: u64) {
-        self.tell(Known { keeper, worker: workers > 1, route: true, granted: true });
+    /// News of the partition's leader, and of the worker from `workers` 2 on.
+    pub fn news(&mut self, leader: u64, workers: u64) {
+        self.tell(Known { leader, worker: workers > 1, route: true, granted: true });
     }
 
     pub fn tell(&mut self, known: Known) {
         self.told += 1;
         let version = Version { term: TERM, count: self.told };
-        let placing = Placing { keeper: daemon(&format!("store-{}", known.keeper)), epoch: epoch(known.keeper) };
-        let charter = if known.route { ROUTES } else { NO_ROUTES };
+        let placing = PartitionLocation { leader: daemon(&format!("store-{}", known.leader)), epoch: epoch(known.leader) };
+        let config = if known.route { ROUTES } else { NO_ROUTES };
         let items = vec![
-            (version, Item::Charter(charter.to_string())),
-            (version, Item::Members(vec![member("delivery-1"), member("store-1"), member("store-2")])),
-            (version, Item::Places(vec![(place(), placing)])),
-            (version, Item::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
+            (version, Update::Config(config.to_string())),
+            (version, Update::Members(vec![member("delivery-1"), member("store-1"), member("store-2")])),
+            (version, Update::Partitions(vec![(place(), placing)])),
+            (version, Update::Workers(known.worker.then(|| self.worker()).into_iter().collect())),
         ];
-        let duty = Duty::of_worker(&worker().zone, &worker().id);
+        let duty = Duty::for_worker(&worker().zone, &worker().id);
         let (set, swap_number) = (Vec::new(), Version::ZERO);
-        let grant = Grant { duty, epoch: epoch(1), set, swap: None, swap_number, shed: false, slice: None };
+        let grant = Grant {
+            duty,
+            epoch: epoch(1),
+            write_set: set,
+            replacement: None,
+            replacement_number: swap_number,
+            release_requested: false,
+            slot_range: None,
+        };
         let grants = known.granted.then_some(grant).into_iter().collect();
         let (asked, fresh) = (self.asked, Some(Span::secs(2)));
-        let msg = Msg::News { asked, term: TERM, fresh, items, grants, late: Vec::new() };
-        self.step(Event::Hear { from: daemon("placement-1"), msg });
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: fresh,
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.step(Event::MessageReceived { from: daemon("placement-1"), message: msg });
     }
 
     fn worker(&self) -> Worker {
         Worker { cold: self.cold, slots: self.slots, ..worker() }
     }
 
-    /// The first keeper hands out an attempt; no worker is there for it yet.
+    /// The first leader hands out an attempt; no worker is there for it yet.
     pub fn offer(&mut self) {
         self.offer_by("bulk");
     }
@@ -161,26 +176,26 @@
 
     pub fn offer_numbered(&mut self, route: &str, attempt: u64) {
         let body = Bytes::from_static(b"body");
-        let head = Head {
+        let head = MessageHeader {
             id: MessageId("0-1".into()),
             crc: crc32(&body),
             len: body.len() as u32,
             route: route.into(),
-            parcel: Some(Box::default()),
-            ..Head::default()
+            caller_request: Some(Box::default()),
+            ..MessageHeader::default()
         };
         let offer = Offer {
-            duty: Duty::Reach(String::new()),
-            place: place(),
-            head,
-            stage: Stage::Work,
+            duty: Duty::TargetShard(String::new()),
+            partition: place(),
+            header: head,
+            stage: Stage::Pending,
             epoch: epoch(1),
             attempt,
             body,
-            goal: Some(Goal::Service("sheets".into())),
-            limit: Span::secs(1),
+            destination: Some(Destination::Service("sheets".into())),
+            timeout: Span::secs(1),
         };
-        let msg = Msg::Offers { asked: self.now, all: vec![offer] };
-        self.step(Event::Hear { from: daemon("store-1"), msg });
+        let msg = PeerMessage::Offers { requested_at: self.now, entries: vec![offer] };
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 }
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -1,5 +1,5 @@
-//! Requests taken in by the charter's routes: matched, named, carried to a
-//! partition's keeper, and sought again by their names.
+//! Requests taken in by the configuration's routes: matched, named, carried to a
+//! partition's leader, and sought again by their names.
 use super::{Bounds, Carry, Peek};
 use crate::prelude::*;
 use crate::verdicts;
@@ -14,31 +14,31 @@
 /// Looked for again after this, and given up after that.
 const SOUGHT: Span = Span::millis(1700);
 
-fn short(why: &str) -> Verdict {
+fn short(why: &str) -> ApiResponse {
     verdicts::not_taken(503, why, Some(Span::secs(1)))
 }
 
 impl Proxy {
-    /// Whether callers may be sent here: it knows the charter in force and
-    /// some keeper of the spool that answers.
+    /// Whether callers may be sent here: it knows the configuration in force and
+    /// some leader of the spool that answers.
     pub(super) fn ready(&self, now: Time) -> bool {
-        self.leaving.is_none() && self.link.fresh(now) && self.free_part(now).is_some()
+        self.leaving.is_none() && self.link.config_is_current(now) && self.free_part(now).is_some()
     }
 
     fn wall(&self, now: Time) -> u64 {
         self.startup.wall + now.since(self.startup.now).0
     }
 
-    /// A partition for a message that may be kept in any: one whose keeper
+    /// A partition for a message that may be kept in any: one whose leader
     /// answers, in this zone if there is one.
     fn free_part(&self, now: Time) -> Option<u32> {
         let spool = self.link.rules.spool;
         let near = &self.startup.me.zone;
         let fit: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let keeper = &self.link.places.get(&Rules::spool_place(n))?.keeper;
-                let zone = self.link.zone_of(keeper)?;
-                (!self.outages.avoids(keeper, now)).then_some((zone == near, n))
+                let leader = &self.link.partition_locations.get(&Rules::spool_place(n))?.leader;
+                let zone = self.link.zone_of(leader)?;
+                (!self.outages.avoids(leader, now)).then_some((zone == near, n))
             })
             .collect();
         let any_near = fit.iter().any(|f| f.0);
@@ -46,9 +46,17 @@
         (!fit.is_empty()).then(|| fit[self.next as usize % fit.len()])
     }
 
-    pub(super) fn on_post(&mut self, ask: AskId, parcel: Box<Parcel>, delay: Span, desk: String, body: Bytes, now: Time) {
+    pub(super) fn on_post(
+        &mut self,
+        ask: RequestId,
+        parcel: Box<CallerRequest>,
+        delay: Span,
+        desk: String,
+        body: Bytes,
+        now: Time,
+    ) {
         self.counts.handed += 1;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             self.counts.refused += 1;
             return self.tell(ask, short("this proxy can't confirm the charter in force"));
         }
@@ -85,21 +93,21 @@
             self.counts.refused += 1;
             return self.tell(ask, short("no store keeps messages just now"));
         };
-        if !key.is_empty() && self.keeper_is_lost(part, now) {
+        if !key.is_empty() && self.leader_is_lost(part, now) {
             self.counts.refused += 1;
             return self.tell(ask, short("the store that keeps this key's messages does not answer"));
         }
-        let head = Head {
+        let head = MessageHeader {
             id: self.name(part),
             key,
             crc: crc32(&body),
             len: body.len() as u32,
-            desk: if route.call_back { desk } else { String::new() },
+            callback: if route.call_back { desk } else { String::new() },
             route: route.name.clone(),
-            parcel: Some(parcel),
-            born: self.wall(now),
+            caller_request: Some(parcel),
+            accepted_unix_micros: self.wall(now),
             delay,
-            ..Head::default()
+            ..MessageHeader::default()
         };
         let limit = Span((route.verdict.0 * PATIENCE).max(LEAST.0)).min(self.startup.limit);
         let carry = Carry {
@@ -129,20 +137,20 @@
     }
 
     /// Whether a message of this partition alone is refused at once, as its
-    /// keeper was silent for long.
-    fn keeper_is_lost(&mut self, part: u32, now: Time) -> bool {
-        let keeper = self.link.places.get(&Rules::spool_place(part)).map(|placing| &placing.keeper);
-        keeper.is_some_and(|keeper| self.outages.refuses(keeper, now))
+    /// leader was silent for long.
+    fn leader_is_lost(&mut self, part: u32, now: Time) -> bool {
+        let leader = self.link.partition_locations.get(&Rules::spool_place(part)).map(|placing| &placing.leader);
+        leader.is_some_and(|leader| self.outages.refuses(leader, now))
     }
 
-    /// A name that nobody else gives and that leads any proxy to the keeper.
+    /// A name that nobody else gives and that leads any proxy to the leader.
     fn name(&mut self, part: u32) -> MessageId {
         let n = self.next;
         self.next += 1;
         MessageId(format!("{part:x}-{n:x}"))
     }
 
-    /// The keeper wrote nothing: a message that may be kept anywhere goes to
+    /// The leader wrote nothing: a message that may be kept anywhere goes to
     /// another partition under another name; one of a key waits for its own.
     pub(super) fn post_elsewhere(&mut self, n: u64, now: Time) {
         let Some(c) = self.carries.get(&n) else { return };
@@ -150,11 +158,11 @@
         if c.doubt || now.since(c.since) >= bounds.limit {
             return self.give_up(n);
         }
-        let keeper = self.link.places.get(&c.place).map(|placing| &placing.keeper);
+        let leader = self.link.partition_locations.get(&c.place).map(|placing| &placing.leader);
         if !c.head.key.is_empty() {
             return self.outages.note_elsewhere(None, &c.place, now);
         }
-        self.outages.note_elsewhere(keeper, &c.place, now);
+        self.outages.note_elsewhere(leader, &c.place, now);
         let Some(part) = self.free_part(now) else { return self.not_kept(n) };
         let id = self.name(part);
         let Some(c) = self.carries.get_mut(&n) else { return };
@@ -171,7 +179,7 @@
         self.close(n, short("no store keeps this partition just now"));
     }
 
-    pub(super) fn on_seek(&mut self, ask: AskId, name: String, body: bool, now: Time) {
+    pub(super) fn on_seek(&mut self, ask: RequestId, name: String, body: bool, now: Time) {
         self.counts.looked += 1;
         let part = name.split_once('-').and_then(|(p, _)| u32::from_str_radix(p, 16).ok());
         let Some(part) = part.filter(|p| *p < self.link.rules.spool || self.link.rules.spool == 0) else {
--- a/crates/ingest/tests/relay.rs
+++ b/crates/ingest/tests/relay.rs
@@ -3,59 +3,72 @@
 use dw_ingest::prelude::*;
 use settings::*;
 
-const CHARTER: &str = r#"{
+const CONFIG: &str = r#"{
   "templates":[{"name":"house","waitlists":[{"name":"w","partitions":1,"service":"s","attempts":3,"attempt_ms":1000}]}],
   "tenants":[{"name":"t","template":"house","share":100}],
   "services":[{"name":"s"}]}"#;
 
 /// A proxy of `z1`, with one partition kept by a store of `z2`. By name, the
-/// stores of its own zone and of the keeper's come before those of `z3`.
+/// stores of its own zone and of the leader's come before those of `z3`.
 fn proxy(now: Time) -> Proxy {
     let mut proxy = Proxy::new(Startup { limit: Span::secs(4), ..startup(now) });
     let version = Version { term: Term(1), count: 1 };
     let stores =
         [("store-1", "z1"), ("store-2", "z2"), ("store-3", "z1"), ("store-4", "z2"), ("store-5", "z3"), ("store-6", "z3")];
-    let place = Place { tenant: "t".into(), waitlist: "w".into(), part: 0 };
-    let placing = Placing { keeper: Daemon("store-2".into()), epoch: version };
+    let place = PartitionId { tenant: "t".into(), queue: "w".into(), number: 0 };
+    let placing = PartitionLocation { leader: Daemon("store-2".into()), epoch: version };
     let items = vec![
-        (version, Item::Charter(CHARTER.into())),
-        (version, Item::Members(stores.iter().map(|(id, zone)| member(id, zone)).collect())),
-        (version, Item::Places(vec![(place, placing)])),
+        (version, Update::Config(CONFIG.into())),
+        (version, Update::Members(stores.iter().map(|(id, zone)| member(id, zone)).collect())),
+        (version, Update::Partitions(vec![(place, placing)])),
     ];
-    proxy.step(Event::Clock, now);
+    proxy.step(Event::Tick, now);
     let fresh = Some(Span::secs(60));
-    let news = Msg::News { asked: now, term: Term(1), fresh, items, grants: Vec::new(), late: Vec::new() };
-    proxy.step(Event::Hear { from: Daemon("agent-1".into()), msg: news }, now);
+    let news = PeerMessage::PullResponse {
+        requested_at: now,
+        term: Term(1),
+        config_valid_for: fresh,
+        updates: items,
+        grants: Vec::new(),
+        late_stores: Vec::new(),
+    };
+    proxy.step(Event::MessageReceived { from: Daemon("agent-1".into()), message: news }, now);
     proxy
 }
 
 fn hand() -> Event {
-    let ask = Ask::Hand {
+    let ask = ApiRequest::Submit {
         tenant: "t".into(),
-        waitlist: "w".into(),
+        queue: "w".into(),
         id: MessageId("m".into()),
         key: String::new(),
-        desk: String::new(),
+        callback: String::new(),
         ttl: None,
-        first: true,
+        declared_new: true,
         body: Bytes::from_static(b"b"),
     };
-    Event::Ask(AskId(1), ask)
+    Event::Request(RequestId(1), ask)
 }
 
 fn look() -> Event {
-    let ask = Ask::Look { tenant: "t".into(), waitlist: "w".into(), id: MessageId("m".into()), key: String::new(), body: false };
-    Event::Ask(AskId(2), ask)
+    let ask = ApiRequest::Lookup {
+        tenant: "t".into(),
+        queue: "w".into(),
+        id: MessageId("m".into()),
+        key: String::new(),
+        with_body: false,
+    };
+    Event::Request(RequestId(2), ask)
 }
 
 /// The stores that are asked one after the other while none answers.
 fn asked(proxy: &mut Proxy, first: Event, turns: u64, now: Time) -> Vec<String> {
     let mut out = proxy.step(first, now);
     for turn in 1..=turns {
-        out.extend(proxy.step(Event::Clock, now + SECOND.times(turn)));
+        out.extend(proxy.step(Event::Tick, now + SECOND.times(turn)));
     }
     let store = |effect: &Effect| match effect {
-        Effect::Say(to, Msg::Carry { .. } | Msg::Peek { .. }) => Some(to.to_string()),
+        Effect::Send(to, PeerMessage::Submit { .. } | PeerMessage::Lookup { .. }) => Some(to.to_string()),
         _ => None,
     };
     out.iter().filter_map(store).collect()
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -12,7 +12,7 @@
 
 /// The zone a duty belongs to, if it belongs to one.
 pub fn home_of(duty: &Duty) -> Option<Zone> {
-    let Duty::Reach(name) = duty else { return None };
+    let Duty::TargetShard(name) = duty else { return None };
     let (zone, _) = name.rsplit_once('/')?;
     (!zone.is_empty()).then(|| Zone(zone.to_string()))
 }
@@ -22,22 +22,22 @@
     pub fn duties(&self) -> &BTreeSet<Duty> {
         &self.duties
     }
-    /// Counts the duties anew: the charter's, and with routes those of every
+    /// Counts the duties anew: the configuration's, and with routes those of every
     /// zone in which a daemon or a listed worker stands.
     pub(super) fn recount(&mut self) {
         let mut all = self.rules.duties();
         if self.rules.spool > 0 {
             let members = self.hard.members.values().map(|m| &m.zone);
             let zones: BTreeSet<&Zone> = members.chain(self.list.workers.iter().map(|w| &w.zone)).collect();
-            all.extend(Duty::of_addresses());
-            all.extend(zones.into_iter().flat_map(Duty::of_zone));
+            all.extend(Duty::unlisted_address_shards());
+            all.extend(zones.into_iter().flat_map(Duty::worker_shards_in));
         }
         self.duties = all;
     }
     /// Whether a claim of this duty is to be believed. A zone need not be
     /// listed (yet), so that a take-over finds all that is held.
     pub(super) fn calls_for(&self, duty: &Duty) -> bool {
-        let part = || home_of(duty).is_some_and(|z| Duty::of_zone(&z).any(|d| d == *duty));
+        let part = || home_of(duty).is_some_and(|z| Duty::worker_shards_in(&z).any(|d| d == *duty));
         self.duties.contains(duty) || self.rules.spool > 0 && part()
     }
     /// The duties there are, with those of reach that anyone tells of.
@@ -56,7 +56,7 @@
     /// Deliveries among which a duty may be evened out: those of its own zone
     /// while any of them is live.
     pub(super) fn homes(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
-        let all = || self.hard.of(Kind::Delivery).map(|m| m.id.clone());
+        let all = || self.hard.of(DaemonKind::Delivery).map(|m| m.id.clone());
         let near: Vec<Daemon> = all().filter(|d| !self.abroad(duty, d) && self.live(d, now)).collect();
         if near.is_empty() {
             return all().collect();
@@ -70,7 +70,7 @@
         let home: Vec<Duty> = held
             .iter()
             .filter(|(duty, holder)| self.abroad(duty, holder) && !self.kept_away(duty, now))
-            .filter(|(duty, _)| self.hard.of(Kind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id)))
+            .filter(|(duty, _)| self.hard.of(DaemonKind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id)))
             .map(|(duty, _)| duty.clone())
             .take(HOMEWARD)
             .collect();
@@ -97,7 +97,7 @@
         let (here, there) = (at(d), at(&apart.holder));
         match duty {
             _ if *d == apart.holder => 3,
-            Duty::Endpoint(_) | Duty::Reach(_) => u8::from(here == there || here == apart.zone),
+            Duty::Endpoint(_) | Duty::TargetShard(_) => u8::from(here == there || here == apart.zone),
             _ => u8::from(here != apart.zone),
         }
     }
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -1,4 +1,4 @@
-//! Charters that carry their operator's own number.
+//! Configurations that carry their operator's own number.
 use super::asks::{faulty, wrong};
 use super::{done, Pending, COMMIT_MAX};
 use crate::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 impl Placement {
-    pub(super) fn revise(&mut self, id: AskId, base: u64, json: &str, part: bool, now: Time) -> Option<Verdict> {
+    pub(super) fn revise(&mut self, id: RequestId, base: u64, json: &str, part: bool, now: Time) -> Option<ApiResponse> {
         let op = OperationId::numbered(kind_of(part), base, json);
         let known = self.hard.operations.known(&op, None);
         if let Known::Done(version) = known {
@@ -36,17 +36,17 @@
             return Some(self.unrecorded(&op, json, part, now));
         }
         if base != self.rules.revision {
-            return Some(self.outrun(self.hard.charter_version));
+            return Some(self.outrun(self.hard.config_version));
         }
         let canon = match self.numbered(json, part, now) {
             Ok(json) => json,
             Err(Unfit::Later(why)) => return Some(later(why)),
             Err(Unfit::Wrong(e)) => {
-                self.note(Note::CharterRefused, e.to_string());
+                self.note(LogEvent::ConfigRefused, e.to_string());
                 return Some(faulty(&e));
             }
         };
-        let order = Order::Charter { op: op.clone(), request: None, base: self.hard.charter_version, json: canon };
+        let order = Order::Config { op: op.clone(), request: None, base: self.hard.config_version, json: canon };
         self.propose(order, Pending::Revision(vec![id], op), now);
         None
     }
@@ -54,34 +54,34 @@
     /// The answer to an order on a base so old that its record may be gone:
     /// a whole configuration that is in force was taken, of any other it can't
     /// be known.
-    fn unrecorded(&self, op: &OperationId, json: &str, part: bool, now: Time) -> Verdict {
+    fn unrecorded(&self, op: &OperationId, json: &str, part: bool, now: Time) -> ApiResponse {
         if !part && self.in_force(json, now) {
-            return done(self.hard.charter_version, op);
+            return done(self.hard.config_version, op);
         }
         later("this order is older than the records; whether it was taken is unknown; read the configuration")
     }
 
     /// Whether a whole configuration is the very one in force.
     fn in_force(&self, json: &str, now: Time) -> bool {
-        let Ok(mut whole) = dw_charter::check::read(json) else { return false };
+        let Ok(mut whole) = dw_config::check::read(json) else { return false };
         if self.settle(&mut whole, now).is_err() {
             return false;
         }
-        canonical(&whole).is_ok_and(|text| text == self.hard.charter)
+        canonical(&whole).is_ok_and(|text| text == self.hard.config)
     }
 
     /// Those who wait for an order that is under way.
-    fn waiting(&mut self, op: &OperationId) -> Option<&mut Vec<AskId>> {
+    fn waiting(&mut self, op: &OperationId) -> Option<&mut Vec<RequestId>> {
         self.pending.values_mut().find_map(|(_, p)| match p {
             Pending::Revision(all, o) if o == op => Some(all),
             _ => None,
         })
     }
 
-    /// The canonical form of a numbered charter that may follow the one in force.
+    /// The canonical form of a numbered configuration that may follow the one in force.
     fn numbered(&self, json: &str, part: bool, now: Time) -> Result<String, Unfit> {
         let read = match part {
-            false => dw_charter::check::read(json),
+            false => dw_config::check::read(json),
             true => self.standing().and_then(|c| patch(&c, json)),
         };
         let mut c = read.map_err(Unfit::Wrong)?;
@@ -90,56 +90,56 @@
         canonical(&c).map_err(Unfit::Wrong)
     }
 
-    /// The charter in force; an empty one when there is none.
-    pub(super) fn standing(&self) -> Result<Charter, CharterError> {
-        if self.hard.charter.is_empty() {
-            return Ok(Charter::default());
+    /// The configuration in force; an empty one when there is none.
+    pub(super) fn standing(&self) -> Result<Config, ConfigError> {
+        if self.hard.config.is_empty() {
+            return Ok(Config::default());
         }
-        dw_charter::check::read(&self.hard.charter)
+        dw_config::check::read(&self.hard.config)
     }
 
     /// Fills in what placement chooses: the spool's partitions, once and for
     /// all, by the stores there are.
-    pub(super) fn settle(&self, c: &mut Charter, now: Time) -> Result<(), Unfit> {
+    pub(super) fn settle(&self, c: &mut Config, now: Time) -> Result<(), Unfit> {
         if c.spool == 0 {
             c.spool = self.rules.spool;
         }
         if c.spool > 0 || c.routes.is_empty() {
             return Ok(());
         }
-        let live: Vec<&Member> = self.hard.of(Kind::Store).filter(|m| self.live(&m.id, now)).collect();
+        let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.grown) < GROWING {
             return Err(Unfit::Later("the stores are still coming in, three in two zones are needed; send it again"));
         }
-        let stores = self.hard.of(Kind::Store).filter(|m| !self.retiring(&m.id)).count();
+        let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
 
     /// Another revision is in force than the one this was made from.
-    pub(super) fn outrun(&self, v: Version) -> Verdict {
+    pub(super) fn outrun(&self, v: Version) -> ApiResponse {
         let revision = self.rules.revision;
         let text = json!({"error": "the base is no longer the newest; read the charter again and mend your change",
                           "revision": revision, "version": v.to_string()});
-        Verdict::json(409, text.to_string())
+        ApiResponse::json(409, text.to_string())
     }
 }
 
-/// Why a charter can't be taken, now or at all.
+/// Why a configuration can't be taken, now or at all.
 pub(super) enum Unfit {
     Later(&'static str),
-    Wrong(CharterError),
+    Wrong(ConfigError),
 }
 
-pub(super) fn canonical(c: &Charter) -> Result<String, CharterError> {
-    let json = serde_json::to_string(c).map_err(|source| CharterError::Unreadable { source })?;
+pub(super) fn canonical(c: &Config) -> Result<String, ConfigError> {
+    let json = serde_json::to_string(c).map_err(|source| ConfigError::Unreadable { source })?;
     if json.len() > COMMIT_MAX {
-        return Err(CharterError::Large { size: json.len(), most: COMMIT_MAX });
+        return Err(ConfigError::Large { size: json.len(), most: COMMIT_MAX });
     }
     Ok(json)
 }
 
-pub(super) fn later(why: &str) -> Verdict {
-    Verdict { after: Some(AGAIN), ..wrong(503, why) }
+pub(super) fn later(why: &str) -> ApiResponse {
+    ApiResponse { retry_after: Some(AGAIN), ..wrong(503, why) }
 }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -3,52 +3,52 @@
 use fleet::*;
 
 /// A daemon's pull that has nothing yet, and what it is told.
-fn told(f: &mut Fleet, name: &str, reads_compressed: bool) -> Vec<Item> {
+fn told(f: &mut Fleet, name: &str, reads_compressed: bool) -> Vec<Update> {
     let primary = f.primary().unwrap();
     let me = member(name, "z1");
-    let need = Msg::Need {
-        asked: f.now,
-        heard: (Term(0), Time(0)),
-        have: Vector::default(),
-        me: me.clone(),
+    let need = PeerMessage::Pull {
+        requested_at: f.now,
+        last_answered: (Term(0), Time(0)),
+        held_versions: VersionVector::default(),
+        member: me.clone(),
         report: None,
         reads_compressed,
     };
     let now = f.now;
-    let out = f.cores.get_mut(&primary).unwrap().step(Event::Hear { from: me.id, msg: need }, now);
+    let out = f.cores.get_mut(&primary).unwrap().step(Event::MessageReceived { from: me.id, message: need }, now);
     let items = |effect| match effect {
-        Effect::Say(_, Msg::News { items, .. }) => items,
+        Effect::Send(_, PeerMessage::PullResponse { updates: items, .. }) => items,
         _ => Vec::new(),
     };
     out.into_iter().flat_map(items).map(|(_, item)| item).collect()
 }
 
-fn charter_of(items: &[Item]) -> &Item {
-    items.iter().find(|item| item.source() == Source::Charter).expect("a configuration")
+fn config_of(items: &[Update]) -> &Update {
+    items.iter().find(|item| item.topic() == Topic::Config).expect("a configuration")
 }
 
 /// One with so many services.
 fn long(services: usize) -> Value {
-    let mut charter = first();
+    let mut config = first();
     let listed = (0..services).map(|n| json!({"name": format!("service-{n:04}"), "slots": 4, "warm_ms": 2000}));
-    charter["services"].as_array_mut().unwrap().extend(listed);
-    charter
+    config["services"].as_array_mut().unwrap().extend(listed);
+    config
 }
 
 #[test]
 fn a_long_configuration_is_compressed_for_those_that_read_it() {
     let mut f = Fleet::whole();
-    let charter = long(600);
-    assert_eq!(f.put(0, &charter).code, 200);
+    let config = long(600);
+    assert_eq!(f.put(0, &config).code, 200);
     f.run(2_000);
-    let committed = hard(&f).charter.clone();
+    let committed = hard(&f).config.clone();
     let items = told(&mut f, "agent-1", true);
-    let Item::CompressedCharter(text) = charter_of(&items) else { panic!("{items:?}") };
-    assert_eq!(text.read(CHARTER_MAX).as_deref(), Some(committed.as_str()));
+    let Update::CompressedConfig(text) = config_of(&items) else { panic!("{items:?}") };
+    assert_eq!(text.read(CONFIG_MAX).as_deref(), Some(committed.as_str()));
     assert!(text.size() * 5 < committed.len(), "{} of {} bytes", text.size(), committed.len());
     assert_eq!(text.read(committed.len() - 1), None, "longer than its receiver takes");
     let items = told(&mut f, "agent-2", false);
-    assert_eq!(*charter_of(&items), Item::Charter(committed));
+    assert_eq!(*config_of(&items), Update::Config(committed));
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(f.put(0, &first()).code, 200);
     f.run(2_000);
     let items = told(&mut f, "agent-1", true);
-    assert!(matches!(charter_of(&items), Item::Charter(_)), "{items:?}");
+    assert!(matches!(config_of(&items), Update::Config(_)), "{items:?}");
 }
 
 #[test]
@@ -69,15 +69,15 @@
     let version = hard(&f).members_version;
     f.add("agent-2", "z2");
     f.run(2_000);
-    let agents = hard(&f).members.keys().filter(|d| d.kind() == Kind::Agent).count();
+    let agents = hard(&f).members.keys().filter(|d| d.kind() == DaemonKind::Agent).count();
     assert_eq!(agents, 2, "a new primary tells them that it is there");
     assert_eq!(hard(&f).members_version, version, "an agent's coming is news to nobody");
-    let sources = |items: &[Item]| items.iter().map(Item::source).collect::<BTreeSet<_>>();
+    let sources = |items: &[Update]| items.iter().map(Update::topic).collect::<BTreeSet<_>>();
     for name in ["agent-1", "store-1"] {
         let items = told(&mut f, name, true);
-        assert!(!sources(&items).contains(&Source::Workers), "{name}: {items:?}");
-        let Some(Item::Members(members)) = items.iter().find(|item| item.source() == Source::Members) else { panic!() };
-        assert!(members.iter().all(|m| matches!(m.id.kind(), Kind::Store | Kind::Delivery)), "{members:?}");
+        assert!(!sources(&items).contains(&Topic::Workers), "{name}: {items:?}");
+        let Some(Update::Members(members)) = items.iter().find(|item| item.topic() == Topic::Members) else { panic!() };
+        assert!(members.iter().all(|m| matches!(m.id.kind(), DaemonKind::Store | DaemonKind::Delivery)), "{members:?}");
     }
 }
 
@@ -86,8 +86,8 @@
     let mut f = Fleet::whole();
     f.add("agent-1", "z1");
     f.run(2_000);
-    let before = f.cores[&f.primary().unwrap()].election.commit();
-    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.life = Mark(99);
+    let before = f.cores[&f.primary().unwrap()].election.commit_index();
+    f.fakes.get_mut(&daemon("agent-1")).unwrap().me.incarnation = IncarnationId(99);
     f.run(2_000);
-    assert_eq!(f.cores[&f.primary().unwrap()].election.commit(), before, "nothing is decided by its life");
+    assert_eq!(f.cores[&f.primary().unwrap()].election.commit_index(), before, "nothing is decided by its life");
 }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -6,8 +6,8 @@
 pub use dw_placement::prelude::*;
 pub use serde_json::{json, Value};
 pub use stores::*;
-pub const REACHES: usize = dw_types::id::REACHES as usize;
-use std::collections::VecDeque as Queue;
+pub const TARGET_SHARDS_PER_ZONE: usize = dw_types::id::TARGET_SHARDS_PER_ZONE as usize;
+use std::collections::VecDeque;
 
 /// Between two steps of time.
 const STEP: Span = Span::millis(50);
@@ -25,9 +25,9 @@
     /// Attempts are in hand: nothing is given up.
     pub busy: bool,
     pub unheard: Vec<Duty>,
-    /// Replacements it was told of as keeper: who leaves, who joins, and the
+    /// Replacements it was told of as leader: who leaves, who joins, and the
     /// number that its report names.
-    pub swaps: BTreeMap<Place, (Daemon, Daemon, Version)>,
+    pub swaps: BTreeMap<PartitionId, (Daemon, Daemon, Version)>,
     /// It was told to stop and gives up what it holds.
     pub stopping: bool,
     /// What placement last said of waiting for its seats.
@@ -35,9 +35,9 @@
     /// Joiners are whole as soon as they are named.
     pub copies: bool,
     heard: (Term, Time),
-    have: Vector,
+    have: VersionVector,
     due: Time,
-    pub news: Vec<Item>,
+    pub news: Vec<Update>,
 }
 
 pub struct Fleet {
@@ -49,10 +49,10 @@
     pub fakes: BTreeMap<Daemon, Fake>,
     /// Cores that hear nothing and are heard by nobody.
     pub cut: BTreeSet<Daemon>,
-    queue: Queue<(Daemon, Event)>,
+    queue: VecDeque<(Daemon, Event)>,
     /// A core whose frames are counted, and the bytes of those sent to it.
     pub metered: Option<(Daemon, usize)>,
-    pub told: BTreeMap<u64, Verdict>,
+    pub told: BTreeMap<u64, ApiResponse>,
     pub calls: Vec<(Time, Daemon, CallId, Call)>,
     pub platform: String,
     pub rate: f64,
@@ -65,8 +65,8 @@
 }
 
 /// The mark of a daemon's data folder.
-pub fn disk_of(name: &str) -> Mark {
-    Mark(hash_of(name.as_bytes()))
+pub fn disk_of(name: &str) -> IncarnationId {
+    IncarnationId(hash_of(name.as_bytes()))
 }
 
 pub fn member(name: &str, zone: &str) -> Member {
@@ -75,8 +75,8 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: format!("{name}:80"),
-        life: Mark(1),
-        disk: disk_of(name),
+        incarnation: IncarnationId(1),
+        disk_id: disk_of(name),
         machine: format!("machine-of-{name}"),
     }
 }
@@ -97,7 +97,7 @@
             stuck: BTreeMap::new(),
             fakes: BTreeMap::new(),
             cut: BTreeSet::new(),
-            queue: Queue::new(),
+            queue: VecDeque::new(),
             metered: None,
             told: BTreeMap::new(),
             calls: Vec::new(),
@@ -133,11 +133,11 @@
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
             seeds: names.collect(),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             election: ElectionTiming::default(),
             window: Span::millis(1000),
             hold: Span::millis(3200),
-            charter_lease: Span::millis(2500),
+            config_lease: Span::millis(2500),
             platform: self.platform.clone(),
             poll: Span::millis(1000),
             paged: !self.platform.is_empty(),
@@ -146,7 +146,7 @@
             seed: hash_of(id.as_str().as_bytes()),
         };
         let files = self.disks.entry(id.clone()).or_default().iter().map(|(n, b)| (n.clone(), b.clone())).collect();
-        let mark = Mark(hash_of(format!("disk {id}").as_bytes()));
+        let mark = IncarnationId(hash_of(format!("disk {id}").as_bytes()));
         let (core, out) = Placement::new(startup, files, mark, found, self.now);
         self.cores.insert(id.clone(), core);
         self.obey(id, out);
@@ -190,14 +190,14 @@
             told_to_wait: None,
             copies: true,
             heard: (Term(0), Time(0)),
-            have: Vector::default(),
+            have: VersionVector::default(),
             due,
             news: Vec::new(),
         };
         self.fakes.insert(daemon(name), one);
     }
     pub fn primary(&self) -> Option<Daemon> {
-        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.may_act(self.now);
+        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.is_active_leader(self.now);
         self.cores.keys().find(acts).cloned()
     }
     pub fn standby(&self) -> Daemon {
@@ -207,15 +207,17 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for e in out {
             match e {
-                Effect::Say(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => {
+                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
                     if let Some((_, bytes)) = self.metered.as_mut().filter(|metered| metered.0 == to) {
                         *bytes += encode(&msg).len();
                     }
-                    self.queue.push_back((to, Event::Hear { from: id.clone(), msg }));
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message: msg }));
                 }
-                Effect::Say(to, Msg::News { asked, term, items, grants, .. }) => self.news(&to, asked, term, items, grants),
-                Effect::Say(to, Msg::Departure { wait, .. }) => {
+                Effect::Send(to, PeerMessage::PullResponse { requested_at: asked, term, updates: items, grants, .. }) => {
+                    self.news(&to, asked, term, items, grants)
+                }
+                Effect::Send(to, PeerMessage::Departure { wait, .. }) => {
                     if let Some(fake) = self.fakes.get_mut(&to) {
                         fake.told_to_wait = Some(wait);
                     }
@@ -230,7 +232,7 @@
                 Effect::Remove(name) => {
                     self.disks.entry(id.clone()).or_default().remove(&name);
                 }
-                Effect::Tell(ask, v) => {
+                Effect::Respond(ask, v) => {
                     assert!(self.told.insert(ask.0, v).is_none(), "ask {} was answered twice", ask.0);
                 }
                 Effect::Call(call, what) => self.calls.push((self.now, id.clone(), call, what)),
@@ -238,23 +240,23 @@
             }
         }
     }
-    fn news(&mut self, to: &Daemon, asked: Time, term: Term, items: Vec<(Version, Item)>, grants: Vec<Grant>) {
+    fn news(&mut self, to: &Daemon, asked: Time, term: Term, items: Vec<(Version, Update)>, grants: Vec<Grant>) {
         let Some(f) = self.fakes.get_mut(to) else { return };
         f.heard = (term, asked);
         for (v, item) in items {
-            if f.have.raise(item.source(), v) {
+            if f.have.advance(item.topic(), v) {
                 f.news.push(item);
             }
         }
-        let end = Terms::default().holder_end(asked);
-        f.shed = grants.iter().filter(|g| g.shed).map(|g| g.duty.clone()).collect();
+        let end = LeaseTerms::default().holder_expiry(asked);
+        f.shed = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
         }
         for g in grants {
-            if let Duty::Keep(place) = &g.duty {
-                match &g.swap {
-                    Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.swap_number)),
+            if let Duty::Lead(place) = &g.duty {
+                match &g.replacement {
+                    Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.replacement_number)),
                     None => f.swaps.remove(place),
                 };
             }
@@ -279,35 +281,36 @@
         if f.stopping {
             f.gave.extend(std::mem::take(&mut f.held).into_iter().map(|(duty, held)| (duty, held.0)));
         }
-        let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, checkpoint: false });
-        let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, checkpoint: true });
+        let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, from_checkpoint: false });
+        let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, from_checkpoint: true });
         let claims = memory.chain(folder).collect();
-        let kept: BTreeSet<&Place> = f.held.keys().filter_map(|d| if let Duty::Keep(p) = d { Some(p) } else { None }).collect();
+        let kept: BTreeSet<&PartitionId> =
+            f.held.keys().filter_map(|d| if let Duty::Lead(p) = d { Some(p) } else { None }).collect();
         f.swaps.retain(|place, _| kept.contains(place));
         let swaps = f.swaps.iter().map(|(place, s)| (place.clone(), s.2)).collect();
         let copied = f.swaps.iter().filter(|_| f.copies);
         let whole = copied.map(|(place, s)| (place.clone(), s.1.clone(), disk_of(s.1.as_str()))).collect();
         let report = Report {
             claims,
-            gave: f.gave.clone(),
-            unheard: f.unheard.clone(),
-            whole,
-            swaps,
+            released: f.gave.clone(),
+            unreachable_holders: f.unheard.clone(),
+            complete_copies: whole,
+            replacement_numbers: swaps,
             leaving: f.stopping,
             stopping: f.stopping,
             ..Report::default()
         };
-        let need = |f: &Fake| Msg::Need {
-            asked: now,
-            heard: f.heard,
-            have: f.have.clone(),
-            me: f.me.clone(),
+        let need = |f: &Fake| PeerMessage::Pull {
+            requested_at: now,
+            last_answered: f.heard,
+            held_versions: f.have.clone(),
+            member: f.me.clone(),
             report: Some(report.clone()),
             reads_compressed: false,
         };
         let msg = need(f);
         for core in self.cores.keys().filter(|d| !self.cut.contains(*d)) {
-            self.queue.push_back((core.clone(), Event::Hear { from: id.clone(), msg: msg.clone() }));
+            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), message: msg.clone() }));
         }
     }
     pub fn step(&mut self, id: &Daemon, event: Event) {
@@ -331,7 +334,7 @@
         while self.now < end {
             self.now += STEP;
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
-                self.step(&id, Event::Clock);
+                self.step(&id, Event::Tick);
             }
             for id in self.fakes.keys().cloned().collect::<Vec<_>>() {
                 self.pull(&id);
@@ -350,30 +353,30 @@
         self.now.since(begun).as_millis()
     }
     /// Hands an order to a daemon; its number, under which it is answered.
-    pub fn send(&mut self, to: &Daemon, ask: Ask) -> u64 {
+    pub fn send(&mut self, to: &Daemon, ask: ApiRequest) -> u64 {
         let n = self.next;
         self.next += 1;
-        self.step(to, Event::Ask(AskId(n), ask));
+        self.step(to, Event::Request(RequestId(n), ask));
         n
     }
     /// Asks the primary and waits for its verdict.
-    pub fn ask(&mut self, ask: Ask) -> Verdict {
+    pub fn ask(&mut self, ask: ApiRequest) -> ApiResponse {
         let to = self.primary().expect("a primary");
         let n = self.send(&to, ask);
         self.run(300);
         self.told.get(&n).cloned().expect("a verdict")
     }
-    pub fn put(&mut self, base: u64, json: &Value) -> Verdict {
-        self.ask(Ask::Revise { base, json: json.to_string(), patch: false })
+    pub fn put(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: false })
     }
-    pub fn patch(&mut self, base: u64, json: &Value) -> Verdict {
-        self.ask(Ask::Revise { base, json: json.to_string(), patch: true })
+    pub fn patch(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: true })
     }
     /// Who holds each duty of reach, by their own word.
     pub fn reaches(&self) -> BTreeMap<Duty, Daemon> {
         let mut out = BTreeMap::new();
         for (id, f) in &self.fakes {
-            for (duty, x) in f.held.iter().filter(|(d, _)| matches!(d, Duty::Reach(_))) {
+            for (duty, x) in f.held.iter().filter(|(d, _)| matches!(d, Duty::TargetShard(_))) {
                 if self.now < x.1 {
                     let before = out.insert(duty.clone(), id.clone());
                     assert!(before.is_none(), "{duty} is held by {id} and {before:?}");
@@ -384,7 +387,7 @@
     }
     pub fn holders(&self, zone: &str) -> Vec<Daemon> {
         let all = self.reaches();
-        Duty::of_zone(&Zone(zone.into())).filter_map(|d| all.get(&d).cloned()).collect()
+        Duty::worker_shards_in(&Zone(zone.into())).filter_map(|d| all.get(&d).cloned()).collect()
     }
     /// Loses a placement core with its memory; its folder stays.
     pub fn kill(&mut self, id: &Daemon) {
@@ -394,14 +397,14 @@
     pub fn folders(&self) -> Vec<(Daemon, usize)> {
         self.disks.iter().map(|(d, files)| (d.clone(), files.values().map(Bytes::len).sum())).collect()
     }
-    /// Charters that stand in the log of the primary, done or not.
-    pub fn charters_logged(&self) -> usize {
+    /// Configurations that stand in the log of the primary, done or not.
+    pub fn configs_logged(&self) -> usize {
         let files = &self.disks[&self.primary().expect("a primary")];
         let stored: HardState<Order> = decode(files.values().last().expect("a file")).expect("readable");
-        stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Charter { .. }))).count()
+        stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Config { .. }))).count()
     }
     pub fn committed(&self) -> u64 {
-        self.cores.values().map(|c| c.election.commit()).max().unwrap_or(0)
+        self.cores.values().map(|c| c.election.commit_index()).max().unwrap_or(0)
     }
 }
 
@@ -410,14 +413,14 @@
            "attempts": 4, "attempt_ms": 2500, "doc": format!("{{\"name\":\"{name}\"}}")})
 }
 
-pub fn charter(revision: u64, routes: &[Value]) -> Value {
+pub fn config(revision: u64, routes: &[Value]) -> Value {
     json!({"revision": revision, "routes": routes, "services": [{"name": "huvo11a", "slots": 6, "doc": "{}"}], "doc": "as sent"})
 }
 
 pub fn first() -> Value {
-    charter(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
+    config(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
 }
 
-pub fn said(v: &Verdict) -> Value {
+pub fn said(v: &ApiResponse) -> Value {
     serde_json::from_str(&v.json).unwrap()
 }
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -5,12 +5,12 @@
 fn routed() -> Fleet {
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
-    f.until(6_000, |f| f.reaches().len() == 3 * REACHES + 2 * REACHES);
+    f.until(6_000, |f| f.reaches().len() == 3 * TARGET_SHARDS_PER_ZONE + 2 * TARGET_SHARDS_PER_ZONE);
     f
 }
 
 fn at_home(f: &Fleet) -> bool {
-    (1..=3).all(|n| f.holders(&format!("z{n}")) == vec![daemon(&format!("delivery-{n}")); REACHES])
+    (1..=3).all(|n| f.holders(&format!("z{n}")) == vec![daemon(&format!("delivery-{n}")); TARGET_SHARDS_PER_ZONE])
 }
 
 #[test]
@@ -19,7 +19,7 @@
     f.run(5_000);
     assert!(f.reaches().is_empty());
     let primary = f.primary().unwrap();
-    assert!(!f.cores[&primary].duties().iter().any(|d| matches!(d, Duty::Reach(_))));
+    assert!(!f.cores[&primary].duties().iter().any(|d| matches!(d, Duty::TargetShard(_))));
 }
 
 #[test]
@@ -28,12 +28,12 @@
     assert!(at_home(&f), "{:?}", f.reaches());
     let all = f.reaches();
     for n in 1..=3 {
-        let mine = Duty::of_addresses().filter(|d| all[d] == daemon(&format!("delivery-{n}"))).count();
+        let mine = Duty::unlisted_address_shards().filter(|d| all[d] == daemon(&format!("delivery-{n}"))).count();
         assert!((2..=3).contains(&mine), "delivery-{n} has {mine}");
     }
     let primary = f.primary().unwrap();
-    let keeps = f.cores[&primary].duties().iter().filter(|d| matches!(d, Duty::Keep(_))).count();
-    assert_eq!(keeps, 6);
+    let leads = f.cores[&primary].duties().iter().filter(|d| matches!(d, Duty::Lead(_))).count();
+    assert_eq!(leads, 6);
 }
 
 #[test]
@@ -44,7 +44,7 @@
     f.put(0, &first());
     f.run(8_000);
     let held = f.holders("z1");
-    assert_eq!(held.len(), REACHES);
+    assert_eq!(held.len(), TARGET_SHARDS_PER_ZONE);
     assert!(held.contains(&daemon("delivery-1")) && held.contains(&daemon("delivery-4")), "{held:?}");
 }
 
@@ -52,7 +52,7 @@
 fn a_zone_without_a_delivery_is_served_from_others_and_goes_home_when_one_settles() {
     let mut f = routed();
     f.fakes.remove(&daemon("delivery-2"));
-    f.until(6_000, |f| f.holders("z2").len() == REACHES);
+    f.until(6_000, |f| f.holders("z2").len() == TARGET_SHARDS_PER_ZONE);
     assert!(f.reaches().values().all(|d| *d != daemon("delivery-2")));
     f.add("delivery-2", "z2");
     // Not before it has been live for a while. Addresses are at home nowhere:
@@ -60,7 +60,7 @@
     for _ in 0..40 {
         f.run(50);
         let shed: Vec<Duty> = f.fakes.values().flat_map(|x| x.shed.iter().cloned()).collect();
-        assert!(shed.iter().all(|d| Duty::of_addresses().any(|a| a == *d)), "{shed:?}");
+        assert!(shed.iter().all(|d| Duty::unlisted_address_shards().any(|a| a == *d)), "{shed:?}");
         assert!(shed.len() <= 1, "{shed:?}");
     }
     // Two at a time.
@@ -90,7 +90,7 @@
 fn a_busy_holder_abroad_is_asked_and_never_forced() {
     let mut f = routed();
     f.fakes.remove(&daemon("delivery-2"));
-    f.until(6_000, |f| f.holders("z2").len() == REACHES);
+    f.until(6_000, |f| f.holders("z2").len() == TARGET_SHARDS_PER_ZONE);
     let abroad = f.holders("z2");
     for d in ["delivery-1", "delivery-3"] {
         f.fakes.get_mut(&daemon(d)).unwrap().busy = true;
@@ -140,10 +140,10 @@
         cold: Span::ZERO,
     };
     let (_, at, call, _) = f.calls.pop().unwrap();
-    f.step(&at, Event::Back(call, Reply::Listed(ListPage { workers: vec![far], next: None })));
+    f.step(&at, Event::CallFinished(call, CallResult::WorkerList(ListPage { workers: vec![far], next: None })));
     f.run(4_000);
     assert_eq!(f.put(0, &first()).code, 200);
-    f.until(6_000, |f| f.holders("z9").len() == REACHES);
+    f.until(6_000, |f| f.holders("z9").len() == TARGET_SHARDS_PER_ZONE);
     let before = f.holders("z9");
     let old = f.primary().unwrap();
     f.kill(&old);
@@ -156,7 +156,7 @@
 #[test]
 fn cut_apart_from_a_store_a_duty_moves_and_does_not_swing_back_and_forth() {
     let mut f = routed();
-    let duty = Duty::of_zone(&Zone("z2".into())).next().unwrap();
+    let duty = Duty::worker_shards_in(&Zone("z2".into())).next().unwrap();
     let mut moves = 0;
     let mut last = f.reaches().get(&duty).cloned();
     // Two minutes in which store-1 and delivery-2 do not reach each other.
--- a/crates/placement/tests/replacement.rs
+++ b/crates/placement/tests/replacement.rs
@@ -12,7 +12,7 @@
 
 /// The daemon comes back with its disk, in a new life.
 fn return_with_disk(f: &mut Fleet, mut fake: Fake) {
-    fake.me.life = Mark(fake.me.life.0 + 1);
+    fake.me.incarnation = IncarnationId(fake.me.incarnation.0 + 1);
     fake.held.clear();
     fake.swaps.clear();
     f.fakes.insert(fake.me.id.clone(), fake);
@@ -101,29 +101,30 @@
 #[test]
 fn a_copy_made_under_an_earlier_replacement_is_not_counted() {
     let (mut f, fake) = replacement_under_way();
-    let old: BTreeMap<Place, Version> = f.fakes.values().flat_map(|x| x.swaps.iter().map(|(p, s)| (p.clone(), s.2))).collect();
+    let old: BTreeMap<PartitionId, Version> =
+        f.fakes.values().flat_map(|x| x.swaps.iter().map(|(p, s)| (p.clone(), s.2))).collect();
     return_with_disk(&mut f, fake);
     f.until(1_500, |f| swaps(f) == 0);
     lose(&mut f, "store-1");
     f.until(6_000, |f| swaps(f) == 6);
     let primary = f.primary().unwrap();
-    let keepers: Vec<Daemon> = f.fakes.values().filter(|x| !x.swaps.is_empty()).map(|x| x.me.id.clone()).collect();
-    for keeper in keepers {
-        let fake = &f.fakes[&keeper];
-        let places: Vec<Place> = fake.swaps.keys().cloned().collect();
+    let leaders: Vec<Daemon> = f.fakes.values().filter(|x| !x.swaps.is_empty()).map(|x| x.me.id.clone()).collect();
+    for leader in leaders {
+        let fake = &f.fakes[&leader];
+        let places: Vec<PartitionId> = fake.swaps.keys().cloned().collect();
         let whole = places.iter().map(|p| (p.clone(), daemon("store-4"), disk_of("store-4"))).collect();
         let swaps = places.iter().map(|p| (p.clone(), old[p])).collect();
-        let report = Report { whole, swaps, ..Report::default() };
+        let report = Report { complete_copies: whole, replacement_numbers: swaps, ..Report::default() };
         let heard = (f.cores[&primary].election.term(), f.now);
-        let msg = Msg::Need {
-            asked: f.now,
-            heard,
-            have: Vector::default(),
-            me: fake.me.clone(),
+        let msg = PeerMessage::Pull {
+            requested_at: f.now,
+            last_answered: heard,
+            held_versions: VersionVector::default(),
+            member: fake.me.clone(),
             report: Some(report),
             reads_compressed: false,
         };
-        f.step(&primary, Event::Hear { from: keeper, msg });
+        f.step(&primary, Event::MessageReceived { from: leader, message: msg });
     }
     assert_eq!((seats(&f, "store-1"), seats(&f, "store-4")), (6, 0));
     copying(&mut f, true);
@@ -249,23 +250,23 @@
 fn a_machine_that_the_widest_set_needs_is_not_retired() {
     let mut f = bearing_two(5);
     let machine = "machine-of-store-1".to_string();
-    assert_eq!(f.ask(Ask::RetireMachine { machine: machine.clone() }).code, 409);
+    assert_eq!(f.ask(ApiRequest::RetireMachine { machine: machine.clone() }).code, 409);
     f.add("store-6", "z3");
     f.run(2_000);
-    assert_eq!(f.ask(Ask::RetireMachine { machine }).code, 200);
+    assert_eq!(f.ask(ApiRequest::RetireMachine { machine }).code, 200);
     f.until(6_000, |f| seats(f, "store-1") == 0);
 }
 
 /// The partitions that a store keeps, with their epochs.
 fn kept(fake: &Fake) -> BTreeMap<Duty, Epoch> {
-    let keeps = fake.held.iter().filter(|(duty, _)| matches!(duty, Duty::Keep(_)));
-    keeps.map(|(duty, (epoch, _))| (duty.clone(), *epoch)).collect()
+    let led = fake.held.iter().filter(|(duty, _)| matches!(duty, Duty::Lead(_)));
+    led.map(|(duty, (epoch, _))| (duty.clone(), *epoch)).collect()
 }
 
 /// Whether each of these partitions is kept by a store that has a seat in it.
 fn kept_in_their_write_sets(f: &Fleet, duties: &BTreeMap<Duty, Epoch>) -> bool {
     duties.keys().all(|duty| {
-        let Duty::Keep(place) = duty else { return false };
+        let Duty::Lead(place) = duty else { return false };
         let seated = |store: &Daemon| hard(f).layout[place].iter().any(|seat| seat.0 == *store);
         let holders: Vec<&Fake> = f.fakes.values().filter(|x| x.held.contains_key(duty)).collect();
         holders.len() == 1 && seated(&holders[0].me.id)
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -3,11 +3,11 @@
 use fleet::*;
 
 fn retire(f: &mut Fleet, machine: &str) -> u16 {
-    f.ask(Ask::RetireMachine { machine: machine.to_string() }).code
+    f.ask(ApiRequest::RetireMachine { machine: machine.to_string() }).code
 }
 
 fn told(f: &mut Fleet, machine: &str) -> (u16, String) {
-    let v = f.ask(Ask::Retirement { machine: machine.to_string() });
+    let v = f.ask(ApiRequest::RetirementStatus { machine: machine.to_string() });
     (v.code, said(&v)["retirement"].as_str().unwrap_or("").to_string())
 }
 
@@ -25,8 +25,8 @@
         assert!(f.now.since(begun) < Span::millis(4_000), "{} seats are left", seats(&f, "store-1"));
     }
     assert_eq!(seats(&f, "store-1"), 0);
-    let keeps = |d: &Duty| matches!(d, Duty::Keep(_));
-    assert!(!f.fakes[&daemon("store-1")].held.keys().any(keeps));
+    let leads = |d: &Duty| matches!(d, Duty::Lead(_));
+    assert!(!f.fakes[&daemon("store-1")].held.keys().any(leads));
     assert_eq!(retire(&mut f, "machine-of-store-1"), 200);
 }
 
@@ -84,7 +84,7 @@
         f.kill(&daemon(second));
         f.run(6_000);
         let primary = f.primary().unwrap_or_else(|| panic!("no majority is left without {second}"));
-        let voters = f.cores[&primary].election.configuration().names();
+        let voters = f.cores[&primary].election.configuration().voter_names();
         assert!(voters.contains(&daemon("placement-4")) && !voters.contains(&daemon("placement-1")), "{voters:?}");
     }
 }
@@ -111,7 +111,7 @@
     f.run(2_000);
     f.add("store-1", "z1");
     let fresh = &mut f.fakes.get_mut(&daemon("store-1")).unwrap().me;
-    (fresh.machine, fresh.disk, fresh.life) = ("another".to_string(), Mark(77), Mark(9));
+    (fresh.machine, fresh.disk_id, fresh.incarnation) = ("another".to_string(), IncarnationId(77), IncarnationId(9));
     f.run(2_000);
     assert_eq!(told(&mut f, "another").0, 404);
     assert!(!f.cores[&f.primary().unwrap()].hard.retiring.contains_key(&daemon("store-1")));
--- a/crates/waitlist/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -1,42 +1,50 @@
-//! Operations sent to the mates, their acknowledgements, and what stands.
+//! Operations sent to the backups, their acknowledgements, and what stands.
 use crate::prelude::*;
 
 impl Store {
-    /// Sends each mate what it lacks of the latest ops.
-    pub(super) fn spread(&mut self, place: &Place, now: Time) {
+    /// Sends each backup what it lacks of the latest ops.
+    pub(super) fn spread(&mut self, place: &PartitionId, now: Time) {
         let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        for mate in own.mates.keys().cloned().collect::<Vec<_>>() {
-            self.spread_to(place, &mate, now);
+        for backup in own.backups.keys().cloned().collect::<Vec<_>>() {
+            self.spread_to(place, &backup, now);
         }
     }
 
-    fn spread_to(&mut self, place: &Place, mate: &Daemon, now: Time) {
+    fn spread_to(&mut self, place: &PartitionId, backup: &Daemon, now: Time) {
         let Some(p) = self.parts.get_mut(place) else { return };
         let Some(own) = p.own.as_mut() else { return };
         let top = p.n;
         let epoch = own.epoch;
-        let Some(have) = own.peers.get(mate).and_then(|s| s.have) else { return };
-        let sent = own.peers.get(mate).map_or(have, |s| s.sent).max(have);
+        let Some(have) = own.peers.get(backup).and_then(|s| s.have) else { return };
+        let sent = own.peers.get(backup).map_or(have, |s| s.sent).max(have);
         if sent >= top || sent - have > 4 * 1024 {
             return;
         }
         let Some(ops) = own.ops_from(sent + 1, top) else {
             // Too far behind for the ops kept: it copies the whole.
-            if let Some(s) = own.peers.get_mut(mate) {
+            if let Some(s) = own.peers.get_mut(backup) {
                 (s.have, s.short) = (None, true);
             }
             return;
         };
-        if let Some(s) = own.peers.get_mut(mate) {
+        if let Some(s) = own.peers.get_mut(backup) {
             s.note_sent(sent + ops.len() as u64, now);
             if s.sent < top {
                 self.dirty.insert(place.clone());
             }
         }
-        self.say(mate, Msg::Append { place: place.clone(), epoch, first: sent + 1, ops });
+        self.say(backup, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
     }
 
-    pub(super) fn on_append(&mut self, from: Daemon, place: Place, epoch: Epoch, first: u64, ops: Vec<Op>, now: Time) {
+    pub(super) fn on_append(
+        &mut self,
+        from: Daemon,
+        place: PartitionId,
+        epoch: Epoch,
+        first: u64,
+        ops: Vec<PartitionOp>,
+        now: Time,
+    ) {
         // Unacknowledged, the second copy goes to another peer.
         if self.refuses_writes() {
             return;
@@ -45,11 +53,11 @@
         if epoch < p.promised {
             let promised = p.promised;
             self.counts.fenced += 1;
-            return self.say(&from, Msg::Refused { place, promised });
+            return self.say(&from, PeerMessage::FenceRefused { partition: place, promised_epoch: promised });
         }
         if p.installed != epoch || first > p.n + 1 {
             let (installed, n) = (p.installed, p.n);
-            return self.say(&from, Msg::Gap { place, epoch, installed, n });
+            return self.say(&from, PeerMessage::AppendGap { partition: place, epoch, installed_epoch: installed, last_op: n });
         }
         let home = self.ledger.next();
         for (at, op) in ops.into_iter().enumerate() {
@@ -57,8 +65,8 @@
             if n <= p.n {
                 continue;
             }
-            if let Op::Put(head, _, body) = &op {
-                if !head.sound(body) {
+            if let PartitionOp::Put(head, _, body) = &op {
+                if !head.matches(body) {
                     break;
                 }
             }
@@ -71,7 +79,15 @@
         self.later(Then::Ack { to: from, place, epoch, upto });
     }
 
-    pub(super) fn on_appended(&mut self, from: Daemon, place: Place, epoch: Epoch, upto: u64, mark: Mark, now: Time) {
+    pub(super) fn on_appended(
+        &mut self,
+        from: Daemon,
+        place: PartitionId,
+        epoch: Epoch,
+        upto: u64,
+        mark: IncarnationId,
+        now: Time,
+    ) {
         let Some(p) = self.parts.get_mut(&place) else { return };
         let top = p.n;
         let Some(own) = p.own.as_mut() else { return };
@@ -100,7 +116,7 @@
             }
             // A copy made whole under a new mark: placement may count it now.
             if own.whole.insert(from, mark) != Some(mark) {
-                self.link.hurry(now);
+                self.link.pull_now(now);
             }
             return;
         }
@@ -110,13 +126,13 @@
         self.commit(&place, now);
     }
 
-    pub(super) fn on_gap(&mut self, from: Daemon, place: Place, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
+    pub(super) fn on_gap(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
         let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) else { return };
         if own.epoch != epoch {
             return;
         }
         let was = own.was;
-        let mark = own.set.iter().find(|s| s.0 == from).map_or(Mark(0), |s| s.1);
+        let mark = own.set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
         let Some(peer) = own.peers.get_mut(&from) else { return };
         peer.heard = now;
         if installed == epoch {
@@ -127,10 +143,10 @@
         }
         peer.have = None;
         peer.asked = now;
-        self.say(&from, Msg::Lag { place, epoch, was, mark, short: false });
+        self.say(&from, PeerMessage::Lagging { partition: place, epoch, expected: was, disk_id: mark, must_fetch: false });
     }
 
-    pub(super) fn own_durable(&mut self, place: &Place, epoch: Epoch, upto: u64, now: Time) {
+    pub(super) fn own_durable(&mut self, place: &PartitionId, epoch: Epoch, upto: u64, now: Time) {
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
         if own.epoch != epoch {
             return;
@@ -142,7 +158,7 @@
 
     /// What is synced here and on enough counting peers, one of them in
     /// another zone, stands.
-    pub(super) fn commit(&mut self, place: &Place, now: Time) {
+    pub(super) fn commit(&mut self, place: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
@@ -158,7 +174,7 @@
             .filter_map(|(d, s)| Some((s.have?, far(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
-        let Some(enough) = copies.get(own.mates_needed() - 1).map(|c| c.0) else { return };
+        let Some(enough) = copies.get(own.backups_needed() - 1).map(|c| c.0) else { return };
         let Some(elsewhere) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
         let best = enough.min(elsewhere);
         if own.phase == Phase::Spreading {
--- a/crates/waitlist/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -48,7 +48,7 @@
         self.shed_all(now);
         let waited = now.since(since);
         let idle = self.parts.values().all(|part| part.own.is_none());
-        let answered = waited >= ANSWERS_UNDER_WAY && !self.link.due(now);
+        let answered = waited >= ANSWERS_UNDER_WAY && !self.link.is_pull_due(now);
         let kept = self.kept_elsewhere() || waited > UNANSWERED;
         let free = match seats {
             Seats::Unknown => waited > UNANSWERED,
@@ -56,7 +56,7 @@
             Seats::Settled => true,
         };
         if (idle && answered && kept && free) || waited > GONE_WITHIN {
-            self.out.push(Effect::Gone);
+            self.out.push(Effect::Exit);
         }
     }
 
@@ -64,8 +64,8 @@
     /// is told on until then.
     fn kept_elsewhere(&self) -> bool {
         self.gave.keys().all(|duty| {
-            let Duty::Keep(place) = duty else { return true };
-            self.link.places.get(place).is_some_and(|placing| placing.keeper != self.startup.me.id)
+            let Duty::Lead(place) = duty else { return true };
+            self.link.partition_locations.get(place).is_some_and(|placing| placing.leader != self.startup.me.id)
         })
     }
 }
--- a/crates/waitlist/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -1,7 +1,7 @@
 //! A store that is made whole for many partitions at once holds no more bytes
 //! of unfinished copies than its bound, and still ends all of them.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 
 const START: Time = Time::millis(10_000);
@@ -12,25 +12,32 @@
 /// Less than two partitions have.
 const BOUND: u64 = 30_000;
 
-fn place(part: u32) -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part }
+fn place(part: u32) -> PartitionId {
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: part }
 }
 
 fn body(seq: u64) -> Bytes {
     Bytes::from(vec![seq as u8; BODY])
 }
 
-fn head(seq: u64) -> Head {
+fn head(seq: u64) -> MessageHeader {
     let body = body(seq);
-    Head { id: MessageId(format!("m{seq:04}")), seq, crc: crc32(&body), len: body.len() as u32, ..Head::default() }
+    MessageHeader {
+        id: MessageId(format!("m{seq:04}")),
+        seq,
+        crc: crc32(&body),
+        len: body.len() as u32,
+        ..MessageHeader::default()
+    }
 }
 
-/// The keeper's answer: all records first, then the bytes of one message.
+/// The leader's answer: all records first, then the bytes of one message.
 fn part_of(request: &CopyRequest) -> CopyPart {
     let (n, next, complete) = (MESSAGES, MESSAGES + 1, true);
-    let empty = CopyPart { from: None, ops: Vec::new(), bodies: Vec::new(), records: Vec::new(), n, next, complete };
+    let empty =
+        CopyPart { from: None, ops: Vec::new(), bodies: Vec::new(), records: Vec::new(), last_op: n, next_seq: next, complete };
     if request.position.is_none() {
-        let records = (1..=MESSAGES).map(|seq| (head(seq), Stage::Work)).collect();
+        let records = (1..=MESSAGES).map(|seq| (head(seq), Stage::Pending)).collect();
         return CopyPart { records, ..empty };
     }
     let seq_of = |id: &MessageId| (1..=MESSAGES).find(|seq| head(*seq).id == *id);
@@ -41,7 +48,7 @@
 struct Replica {
     core: Store,
     now: Time,
-    questions: VecDeque<(Place, CopyRequest)>,
+    questions: VecDeque<(PartitionId, CopyRequest)>,
     /// The most that unfinished copies held together.
     most: usize,
 }
@@ -49,13 +56,19 @@
 impl Replica {
     /// Told that it lacks every partition.
     fn new() -> Replica {
-        let me = Member { disk: Mark(2), ..member("store-2", "z2") };
+        let me = Member { disk_id: IncarnationId(2), ..member("store-2", "z2") };
         let startup = Startup { cache_max: BOUND, ..startup(me) };
-        let (core, _) = Store::new(startup, &Vec::new(), Mark(2), START);
+        let (core, _) = Store::new(startup, &Vec::new(), IncarnationId(2), START);
         let mut replica = Replica { core, now: START, questions: VecDeque::new(), most: 0 };
         replica.step(Event::Saved(1));
         for part in 0..PARTITIONS {
-            let lag = Msg::Lag { place: place(part), epoch: EPOCH, was: None, mark: Mark(2), short: false };
+            let lag = PeerMessage::Lagging {
+                partition: place(part),
+                epoch: EPOCH,
+                expected: None,
+                disk_id: IncarnationId(2),
+                must_fetch: false,
+            };
             replica.hear(lag);
         }
         replica
@@ -65,7 +78,9 @@
         for effect in self.core.step(event, self.now) {
             match effect {
                 Effect::Save { n, .. } => self.step(Event::Saved(n)),
-                Effect::Say(_, Msg::Fetch { place, request: Some(request), .. }) => self.questions.push_back((place, request)),
+                Effect::Send(_, PeerMessage::FetchCopy { partition: place, request: Some(request), .. }) => {
+                    self.questions.push_back((place, request))
+                }
                 _ => {}
             }
         }
@@ -73,21 +88,21 @@
         self.most = self.most.max(copies.map(|fetch| fetch.copy.brought()).sum());
     }
 
-    fn hear(&mut self, msg: Msg) {
-        self.step(Event::Hear { from: daemon("store-1"), msg });
+    fn hear(&mut self, msg: PeerMessage) {
+        self.step(Event::MessageReceived { from: daemon("store-1"), message: msg });
     }
 
-    /// Lets time pass while the keeper answers for all partitions but these.
+    /// Lets time pass while the leader answers for all partitions but these.
     fn run(&mut self, span: Span, unanswered: &[u32]) {
         let end = self.now + span;
         while self.now < end {
             while let Some((place, request)) = self.questions.pop_front() {
-                if !unanswered.contains(&place.part) {
-                    self.hear(Msg::CopyPart { place, epoch: EPOCH, part: Box::new(part_of(&request)) });
+                if !unanswered.contains(&place.number) {
+                    self.hear(PeerMessage::CopyPart { partition: place, epoch: EPOCH, part: Box::new(part_of(&request)) });
                 }
             }
             self.now += Span::millis(20);
-            self.step(Event::Clock);
+            self.step(Event::Tick);
         }
     }
 
--- a/crates/waitlist/tests/disk_stuck.rs
+++ b/crates/queue/tests/disk_stuck.rs
@@ -2,7 +2,7 @@
 //! meanwhile.
 mod settings;
 mod trio;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use trio::*;
 
 #[test]
@@ -12,7 +12,7 @@
     assert!(fleet.accepted(1), "{:?}", fleet.told);
     fleet.stick(1);
     fleet.carry(2, 1);
-    assert!(matches!(fleet.told.get(&2), Some(Carried::NotTaken { code: 503, .. })), "{:?}", fleet.told);
+    assert!(matches!(fleet.told.get(&2), Some(SubmitOutcome::Rejected { code: 503, .. })), "{:?}", fleet.told);
     assert!(!fleet.stores[&store(1)].parts[&place()].recs.contains_key(&MessageId("m2".into())));
     fleet.free(1);
     fleet.carry(3, 1);
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn a_keeper_with_a_stuck_disk_gives_its_partition_to_a_store_whose_disk_works() {
+fn a_leader_with_a_stuck_disk_gives_its_partition_to_a_store_whose_disk_works() {
     let mut fleet = Fleet::new();
     fleet.carry(1, 1);
     fleet.stick(1);
     fleet.run(Span::secs(2));
-    assert_eq!(fleet.keeper, 2);
+    assert_eq!(fleet.leader, 2);
     assert_eq!(fleet.phase(1), None);
     assert_eq!(fleet.phase(2), Some(Phase::Serving));
     assert!(fleet.reports[&store(1)].leaving);
@@ -45,33 +45,33 @@
     fleet.run(Span::millis(300));
     fleet.free(1);
     fleet.run(Span::secs(3));
-    assert_eq!((fleet.keeper, fleet.phase(1)), (1, Some(Phase::Serving)));
+    assert_eq!((fleet.leader, fleet.phase(1)), (1, Some(Phase::Serving)));
 }
 
 #[test]
 fn a_follower_with_a_stuck_disk_gives_way_to_another_in_time() {
     let mut fleet = Fleet::new();
-    let mate = fleet.own(1).unwrap().mates.keys().next().cloned().unwrap();
-    let number = (1..=3).find(|n| store(*n) == mate).unwrap();
+    let backup = fleet.own(1).unwrap().backups.keys().next().cloned().unwrap();
+    let number = (1..=3).find(|n| store(*n) == backup).unwrap();
     fleet.stick(number);
     fleet.carry(1, 1);
     assert!(!fleet.accepted(1));
-    fleet.run(Terms::default().length.percent(50));
+    fleet.run(LeaseTerms::default().length.percent(50));
     assert!(fleet.accepted(1), "{:?}", fleet.told);
     fleet.carry(2, 1);
     assert!(fleet.accepted(2), "{:?}", fleet.told);
     fleet.free(number);
     fleet.run(Span::secs(1));
-    assert_eq!(fleet.keeper, 1);
+    assert_eq!(fleet.leader, 1);
 }
 
 #[test]
 fn a_torn_file_empties_the_folder_only_after_the_new_mark_is_saved() {
     let torn = ("lines-0000000000000002-0000000000000002".to_string(), Bytes::new());
-    let line = vec![Line::Mark(Mark(5))];
+    let line = vec![Line::Mark(IncarnationId(5))];
     let whole = ("lines-0000000000000001-0000000000000001".to_string(), Bytes::from(encode(&line)));
-    let (store, out) = Store::new(settings_of(1), &vec![whole, torn], Mark(9), Time::millis(1));
-    assert_eq!(store.mark, Mark(9));
+    let (store, out) = Store::new(settings_of(1), &vec![whole, torn], IncarnationId(9), Time::millis(1));
+    assert_eq!(store.mark, IncarnationId(9));
     let saved = out.iter().position(|e| matches!(e, Effect::Save { .. })).unwrap();
     let removed: Vec<usize> = (0..out.len()).filter(|at| matches!(out[*at], Effect::Remove(_))).collect();
     assert_eq!(removed.len(), 2);
@@ -83,18 +83,18 @@
 /// The replica that holds the most answered the seal and is then gone for
 /// good: the other majority holds everything acknowledged, too.
 #[test]
-fn a_keeper_whose_source_of_the_copy_is_gone_takes_another() {
+fn a_leader_whose_source_of_the_copy_is_gone_takes_another() {
     let mut fleet = Fleet::new();
     fleet.carry(1, 1);
     assert!(fleet.accepted(1), "{:?}", fleet.told);
-    let mate = fleet.own(1).unwrap().mates.keys().next().cloned().unwrap();
-    let third = (2..=3).find(|n| store(*n) != mate).unwrap();
-    fleet.keeper = third;
+    let backup = fleet.own(1).unwrap().backups.keys().next().cloned().unwrap();
+    let third = (2..=3).find(|n| store(*n) != backup).unwrap();
+    fleet.leader = third;
     fleet.epoch += 1;
     while fleet.phase(third) != Some(Phase::Fetching) {
         if !fleet.settle_one() {
             fleet.now += STEP;
-            fleet.queue.extend((1..=3).map(|n| (store(n), Event::Clock)));
+            fleet.queue.extend((1..=3).map(|n| (store(n), Event::Tick)));
         }
         assert!(fleet.now < Time(10_000_000), "it copied from nobody");
     }
--- a/crates/waitlist/tests/doubt.rs
+++ b/crates/queue/tests/doubt.rs
@@ -1,25 +1,28 @@
 //! How soon a message runs again of which nobody knows whether it has run.
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::daemon;
 
 /// Ends the latest attempt in doubt; gives how long the next was waited for.
 fn next_after_doubt(pair: &mut Pair) -> Span {
     let offer = pair.offers.last().unwrap();
-    let doubt = Settled {
-        place: place(),
-        id: offer.head.id.clone(),
+    let doubt = AttemptResult {
+        partition: place(),
+        id: offer.header.id.clone(),
         epoch: offer.epoch,
         attempt: offer.attempt,
         stage: offer.stage,
-        told: Told::Doubt,
-        seal: String::new(),
+        outcome: AttemptOutcome::Unknown,
+        completion_token: String::new(),
         ended_ago: Span::ZERO,
     };
     let (begun, count) = (pair.now, pair.offers.len());
-    pair.step(0, Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![doubt] } });
+    pair.step(
+        0,
+        Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![doubt] } },
+    );
     while pair.offers.len() == count {
         assert!(pair.now.since(begun) < Span::secs(20), "it never runs again");
         pair.run(Span::millis(20));
--- a/crates/waitlist/tests/hand_over.rs
+++ b/crates/queue/tests/hand_over.rs
@@ -1,7 +1,7 @@
-//! What is known of attempts when a partition goes from keeper to keeper.
+//! What is known of attempts when a partition goes from leader to leader.
 mod settings;
 mod trio;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
 use trio::*;
 
@@ -14,29 +14,29 @@
 
 /// The partition goes to store `n`, which opens it and rests.
 fn hand_to(fleet: &mut Fleet, n: u64) {
-    fleet.keeper = n;
+    fleet.leader = n;
     fleet.epoch += 1;
     fleet.run(OPENS);
     assert_eq!(fleet.phase(n), Some(Phase::Serving));
     assert!(fleet.own(n).unwrap().quiet > fleet.now, "it does not rest");
 }
 
-/// A delivery tells store `n` that attempt 1 of the first keeper succeeded.
+/// A delivery tells store `n` that attempt 1 of the first leader succeeded.
 fn tell_success(fleet: &mut Fleet, n: u64) {
     let epoch = Epoch { term: TERM, count: 1 };
-    let told = Told::Success;
-    let one = Settled {
-        place: place(),
+    let told = AttemptOutcome::Success;
+    let one = AttemptResult {
+        partition: place(),
         id: id(),
         epoch,
         attempt: 1,
-        stage: Stage::Work,
-        told,
-        seal: String::new(),
+        stage: Stage::Pending,
+        outcome: told,
+        completion_token: String::new(),
         ended_ago: Span::ZERO,
     };
-    let msg = Msg::Settled { all: vec![one] };
-    fleet.queue.push_back((store(n), Event::Hear { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::AttemptResults { entries: vec![one] };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     fleet.settle();
 }
 
@@ -46,11 +46,18 @@
 
 /// The stage that callers are shown by store `n`.
 fn shown_by(fleet: &mut Fleet, n: u64) -> Stage {
-    let msg = Msg::Peek { ask: 9, proxy: daemon("proxy-1"), via: None, place: place(), id: id(), body: false };
-    fleet.queue.push_back((store(n), Event::Hear { from: daemon("proxy-1"), msg }));
+    let msg = PeerMessage::Lookup {
+        request_id: 9,
+        proxy: daemon("proxy-1"),
+        via: None,
+        partition: place(),
+        id: id(),
+        with_body: false,
+    };
+    fleet.queue.push_back((store(n), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     fleet.settle();
     match fleet.shown.take() {
-        Some(Found::Here { stage, .. }) => stage,
+        Some(LookupResult::Found { stage, .. }) => stage,
         other => panic!("shown {other:?}"),
     }
 }
@@ -64,19 +71,19 @@
 }
 
 #[test]
-fn a_success_told_to_a_resting_keeper_is_noted_at_once_and_shown_after_the_rest() {
+fn a_success_told_to_a_resting_leader_is_noted_at_once_and_shown_after_the_rest() {
     let mut fleet = accepted_and_handed_over();
     tell_success(&mut fleet, 2);
     assert_eq!(fleet.noted, [(daemon("delivery-1"), 1)]);
-    assert_eq!(shown_by(&mut fleet, 2), Stage::Work);
+    assert_eq!(shown_by(&mut fleet, 2), Stage::Pending);
     let rest = fleet.own(2).unwrap().quiet.since(fleet.now);
     fleet.run(rest + Span::millis(1500));
     assert_eq!(shown_by(&mut fleet, 2), Stage::Ended(Outcome::Succeeded));
 }
 
-/// Incident TWICE: the next keeper knew nothing of it and ran the message.
+/// Incident TWICE: the next leader knew nothing of it and ran the message.
 #[test]
-fn a_success_told_to_a_resting_keeper_is_known_to_the_next_ones() {
+fn a_success_told_to_a_resting_leader_is_known_to_the_next_ones() {
     let mut fleet = accepted_and_handed_over();
     tell_success(&mut fleet, 2);
     hand_to(&mut fleet, 3);
@@ -98,10 +105,10 @@
 /// Store 1 hears what a delivery takes of the partition.
 fn room(fleet: &mut Fleet, room: u32) {
     let epoch = Epoch { term: TERM, count: 1 };
-    let duties = vec![Room { duty: Duty::Deliver(place()), epoch, room, since: Span::ZERO }];
+    let duties = vec![Capacity { duty: Duty::Deliver(place()), epoch, capacity: room, held_for: Span::ZERO }];
     let places = vec![(place(), epoch)];
-    let msg = Msg::Room { asked: fleet.now, duties, places, holding: Vec::new(), reach: None };
-    fleet.queue.push_back((store(1), Event::Hear { from: daemon("delivery-1"), msg }));
+    let msg = PeerMessage::Capacity { requested_at: fleet.now, duties, partitions: places, in_flight: Vec::new(), routed: None };
+    fleet.queue.push_back((store(1), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     fleet.settle();
 }
 
--- a/crates/waitlist/tests/loaded/mod.rs
+++ b/crates/queue/tests/loaded/mod.rs
@@ -3,11 +3,11 @@
 //! away. What one says reaches another a step later.
 #![allow(dead_code)]
 use crate::settings::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const STEP: Span = Span::millis(5);
-const KEEPER: &str = "store-1";
+const LEADER: &str = "store-1";
 const TERM: Term = Term(1);
 const EPOCH: Epoch = Epoch { term: TERM, count: 1 };
 /// Bytes of each message.
@@ -17,8 +17,8 @@
   "routes": [{"name": "bulk", "host": "h", "prefix": "/", "service": "sheets", "attempts": 3,
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
-fn place() -> Place {
-    Place { tenant: "~".into(), waitlist: "spool".into(), part: 0 }
+fn place() -> PartitionId {
+    PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
 /// The name of the message that is handed in under this number.
@@ -38,7 +38,7 @@
     delay: Span,
     late: VecDeque<(Time, Daemon, Event)>,
     replica: Daemon,
-    set: Vec<(Daemon, Mark)>,
+    set: Vec<(Daemon, IncarnationId)>,
     /// Handed out, and not ended yet.
     under_way: VecDeque<Offer>,
     handed_in: u64,
@@ -46,13 +46,13 @@
     busy: bool,
     /// In how many steps one comes in and one ends.
     pace: u64,
-    notes: Vec<Note>,
+    notes: Vec<LogEvent>,
     /// Messages whose callers were told that they were accepted.
     accepted: Vec<MessageId>,
     report: Report,
     /// The largest message between two stores, in bytes.
     pub largest: usize,
-    /// Bytes that the keeper sent to the replica.
+    /// Bytes that the leader sent to the replica.
     pub sent_to_replica: usize,
     /// Parts of copies that it sent.
     pub parts: usize,
@@ -75,7 +75,7 @@
             cut: BTreeSet::new(),
             delay: Span::ZERO,
             late: VecDeque::new(),
-            replica: daemon(KEEPER),
+            replica: daemon(LEADER),
             set: Vec::new(),
             under_way: VecDeque::new(),
             handed_in: 0,
@@ -89,12 +89,12 @@
             parts: 0,
         };
         for n in 1..=stores {
-            all.start_empty(&format!("store-{n}"), Mark(n));
+            all.start_empty(&format!("store-{n}"), IncarnationId(n));
         }
-        all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), Mark(n))).collect();
+        all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
-        let own = all.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper");
-        all.replica = own.mates.keys().next().expect("a replica").clone();
+        let own = all.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        all.replica = own.backups.keys().next().expect("a replica").clone();
         for _ in 0..count {
             all.hand_in();
         }
@@ -104,7 +104,7 @@
         all
     }
 
-    fn start_empty(&mut self, name: &str, mark: Mark) {
+    fn start_empty(&mut self, name: &str, mark: IncarnationId) {
         let zone = self.zone_of(name);
         let startup = Startup {
             pull: Span::millis(300),
@@ -124,10 +124,10 @@
         self.zones[number - 1].clone()
     }
 
-    /// Which peers get every operation of the keeper.
-    pub fn mates(&self) -> Vec<Daemon> {
-        let own = self.cores[&daemon(KEEPER)].parts[&place()].own.as_ref().expect("a keeper");
-        own.mates.keys().cloned().collect()
+    /// Which peers get every operation of the leader.
+    pub fn backups(&self) -> Vec<Daemon> {
+        let own = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        own.backups.keys().cloned().collect()
     }
 
     /// What one store says to another comes so much later from here on.
@@ -162,7 +162,7 @@
     }
 
     /// A store's disk is lost; it starts again at once, with an empty one.
-    pub fn wipe(&mut self, store: &Daemon, mark: Mark) {
+    pub fn wipe(&mut self, store: &Daemon, mark: IncarnationId) {
         self.queue.retain(|(to, _)| to != store);
         self.start_empty(store.as_str(), mark);
     }
@@ -186,32 +186,32 @@
     pub fn lose_disk(&mut self) {
         let replica = self.replica.clone();
         self.queue.retain(|(to, _)| *to != replica);
-        self.start_empty(replica.as_str(), Mark(22));
+        self.start_empty(replica.as_str(), IncarnationId(22));
     }
 
-    /// One message's bytes are altered at the keeper, and no other store has
+    /// One message's bytes are altered at the leader, and no other store has
     /// them.
     pub fn alter_one(&mut self) {
         self.queue.clear();
-        let id = self.under_way.pop_front().expect("one under way").head.id;
+        let id = self.under_way.pop_front().expect("one under way").header.id;
         for core in self.cores.values_mut() {
             let Some(record) = core.parts.get_mut(&place()).and_then(|part| part.recs.get_mut(&id)) else { continue };
             record.body = Some(Bytes::from_static(b"altered"));
         }
     }
 
-    /// The keeper reaches no other store for a while, in which half as many
+    /// The leader reaches no other store for a while, in which half as many
     /// messages come in.
     pub fn cut_off(&mut self, span: Span) {
         self.pace = 2;
-        self.cut.insert(daemon(KEEPER));
+        self.cut.insert(daemon(LEADER));
         self.run(span);
         self.cut.clear();
         self.pace = 1;
         self.notes.clear();
     }
 
-    /// How long until the replica holds all under the keeper's epoch.
+    /// How long until the replica holds all under the leader's epoch.
     pub fn run_until_whole(&mut self, most: Span) -> Span {
         let begun = self.now;
         while !self.is_whole() {
@@ -221,17 +221,17 @@
         self.now.since(begun)
     }
 
-    /// By the keeper's own word: the copy counts, or may be counted.
+    /// By the leader's own word: the copy counts, or may be counted.
     fn is_whole(&self) -> bool {
         let replica = &self.cores[&self.replica];
-        let Some(own) = self.cores[&daemon(KEEPER)].parts[&place()].own.as_ref() else { return false };
+        let Some(own) = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref() else { return false };
         let told = own.whole.get(&self.replica) == Some(&replica.mark);
         let have = own.peers.get(&self.replica).and_then(|s| s.have);
-        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(KEEPER)].parts[&place()].n);
+        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].parts[&place()].n);
         level && (told || own.counts(&self.replica, replica.mark))
     }
 
-    pub fn notes_of(&self, note: Note) -> usize {
+    pub fn notes_of(&self, note: LogEvent) -> usize {
         self.notes.iter().filter(|n| **n == note).count()
     }
 
@@ -242,11 +242,11 @@
             *mark = self.cores[id].mark;
         }
         self.run(Span::secs(3));
-        let records = |name: &str| -> Vec<(Head, Stage, Option<Bytes>)> {
+        let records = |name: &str| -> Vec<(MessageHeader, Stage, Option<Bytes>)> {
             let part = &self.cores[&daemon(name)].parts[&place()];
             part.recs.values().map(|r| (r.head.clone(), r.stage, r.bytes())).collect()
         };
-        let (kept, copied) = (records(KEEPER), records(self.replica.as_str()));
+        let (kept, copied) = (records(LEADER), records(self.replica.as_str()));
         assert_eq!(kept.len(), copied.len());
         for (kept, copied) in kept.iter().zip(&copied) {
             assert_eq!(kept, copied);
@@ -269,7 +269,7 @@
         if self.now.0.is_multiple_of(20_000) {
             self.say_room();
             let stores: Vec<Daemon> = self.cores.keys().cloned().collect();
-            self.queue.extend(stores.into_iter().map(|id| (id, Event::Clock)));
+            self.queue.extend(stores.into_iter().map(|id| (id, Event::Tick)));
         }
         while let Some((_, to, event)) = self.late.pop_front_if(|late| late.0 <= self.now) {
             self.queue.push_back((to, event));
@@ -284,27 +284,29 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Note(note, _) => self.notes.push(note),
+                Effect::Log(note, _) => self.notes.push(note),
                 Effect::Load { n, .. } => self.queue.push_back((id.clone(), Event::Loaded(n, None))),
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
-                Effect::Say(_, Msg::Need { asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Say(_, Msg::Offers { all, .. }) => self.under_way.extend(all),
-                Effect::Say(_, Msg::Carried { ask, word: Carried::Accepted { .. }, .. }) => self.accepted.push(name_of(ask)),
-                Effect::Say(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => self.carry(id, to, msg),
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, report, .. }) => self.answer(id, asked, report),
+                Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.under_way.extend(all),
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
+                    self.accepted.push(name_of(ask))
+                }
+                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => self.carry(id, to, msg),
                 _ => {}
             }
         }
     }
 
-    fn carry(&mut self, from: &Daemon, to: Daemon, msg: Msg) {
+    fn carry(&mut self, from: &Daemon, to: Daemon, msg: PeerMessage) {
         let size = encode(&msg).len();
         self.largest = self.largest.max(size);
-        self.parts += usize::from(matches!(msg, Msg::CopyPart { .. }));
-        if *from == daemon(KEEPER) && to == self.replica {
+        self.parts += usize::from(matches!(msg, PeerMessage::CopyPart { .. }));
+        if *from == daemon(LEADER) && to == self.replica {
             self.sent_to_replica += size;
         }
-        let event = Event::Hear { from: from.clone(), msg };
+        let event = Event::MessageReceived { from: from.clone(), message: msg };
         match self.delay {
             Span::ZERO => self.queue.push_back((to, event)),
             delay => self.late.push_back((self.now + delay, to, event)),
@@ -316,23 +318,38 @@
         let version = Version { term: TERM, count: 1 };
         let members = self.cores.iter().map(|(id, core)| {
             let zone = self.zone_of(id.as_str());
-            Member { disk: core.mark, ..member(id.as_str(), &zone) }
+            Member { disk_id: core.mark, ..member(id.as_str(), &zone) }
         });
-        let placing = Placing { keeper: daemon(KEEPER), epoch: EPOCH };
+        let placing = PartitionLocation { leader: daemon(LEADER), epoch: EPOCH };
         let items = vec![
-            (version, Item::Charter(ROUTES.to_string())),
-            (version, Item::Members(members.collect())),
-            (version, Item::Places(vec![(place(), placing)])),
+            (version, Update::Config(ROUTES.to_string())),
+            (version, Update::Members(members.collect())),
+            (version, Update::Partitions(vec![(place(), placing)])),
         ];
         let mut grants = Vec::new();
-        if *to == daemon(KEEPER) && !self.set.is_empty() {
+        if *to == daemon(LEADER) && !self.set.is_empty() {
             self.report = report.unwrap_or_default();
             let set = self.set.clone();
-            let duty = Duty::Keep(place());
-            grants.push(Grant { duty, epoch: EPOCH, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None });
+            let duty = Duty::Lead(place());
+            grants.push(Grant {
+                duty,
+                epoch: EPOCH,
+                write_set: set,
+                replacement: None,
+                replacement_number: Version::ZERO,
+                release_requested: false,
+                slot_range: None,
+            });
         }
-        let msg = Msg::News { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::Hear { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: Some(Span::secs(2)),
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
     }
 
     /// A proxy hands a message in. Names are spread as hashes are.
@@ -340,52 +357,62 @@
         self.handed_in += 1;
         let number = self.handed_in;
         let body = Bytes::from(vec![number as u8; BODY]);
-        let head = Head {
+        let head = MessageHeader {
             id: name_of(number),
             crc: crc32(&body),
             len: BODY as u32,
             route: "bulk".into(),
-            parcel: Some(Box::default()),
-            ..Head::default()
+            caller_request: Some(Box::default()),
+            ..MessageHeader::default()
         };
-        let msg = Msg::Carry {
-            ask: number,
+        let msg = PeerMessage::Submit {
+            request_id: number,
             proxy: daemon("proxy-1"),
             via: None,
-            again: true,
-            place: place(),
+            wants_refusal: true,
+            partition: place(),
             version: Version { term: TERM, count: 1 },
-            head,
+            header: head,
             body,
-            stamp: Some(Stamp { reading: Some(Reading { life: Mark(1), at: self.now }), age: Span::ZERO }),
-            refuse: None,
+            age_bound: Some(AgeBound {
+                clock: Some(ClockReading { incarnation: IncarnationId(1), at: self.now }),
+                age: Span::ZERO,
+            }),
+            refusal: None,
         };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
 
     /// The delivery says what it takes.
     fn say_room(&mut self) {
-        let reach = Reach { life: Mark(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
+        let reach =
+            RoutedCapacity { incarnation: IncarnationId(7), services: vec![("sheets".into(), 100_000)], addresses: Vec::new() };
         let places = vec![(place(), EPOCH)];
-        let msg = Msg::Room { asked: self.now, duties: Vec::new(), places, holding: Vec::new(), reach: Some(reach) };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::Capacity {
+            requested_at: self.now,
+            duties: Vec::new(),
+            partitions: places,
+            in_flight: Vec::new(),
+            routed: Some(reach),
+        };
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 
     /// A worker is done with a message; not always with the oldest.
     fn end_one(&mut self) {
         let at = (self.handed_in as usize * 7919) % self.under_way.len().max(1);
         let Some(offer) = self.under_way.remove(at) else { return };
-        let one = Settled {
-            place: place(),
-            id: offer.head.id,
+        let one = AttemptResult {
+            partition: place(),
+            id: offer.header.id,
             epoch: offer.epoch,
             attempt: offer.attempt,
             stage: offer.stage,
-            told: Told::Success,
-            seal: "seal".into(),
+            outcome: AttemptOutcome::Success,
+            completion_token: "seal".into(),
             ended_ago: Span::ZERO,
         };
-        let msg = Msg::Settled { all: vec![one] };
-        self.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("delivery-1"), msg }));
+        let msg = PeerMessage::AttemptResults { entries: vec![one] };
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("delivery-1"), message: msg }));
     }
 }
--- a/crates/waitlist/tests/settings/mod.rs
+++ b/crates/queue/tests/settings/mod.rs
@@ -1,5 +1,5 @@
 //! What a store under test is started with; tests change what they need.
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 
 pub fn daemon(name: &str) -> Daemon {
     Daemon(name.to_string())
@@ -11,8 +11,8 @@
         zone: Zone(zone.to_string()),
         addr: format!("{name}:1"),
         http: String::new(),
-        life: Mark(1),
-        disk: Mark(0),
+        incarnation: IncarnationId(1),
+        disk_id: IncarnationId(0),
         machine: String::new(),
     }
 }
@@ -22,7 +22,7 @@
         me,
         seeds: vec![daemon("placement-1")],
         pull: Span::millis(400),
-        terms: Terms::default(),
+        terms: LeaseTerms::default(),
         bytes_max: 1 << 20,
         disk_max: 1 << 20,
         cache_max: 1 << 20,
--- a/crates/waitlist/tests/spread_mates.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -1,28 +1,28 @@
-//! Where one mate is needed, second copies are spread over the write set,
+//! Where one backup is needed, second copies are spread over the write set,
 //! whichever store answered first.
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use settings::*;
-use std::collections::VecDeque as Queue;
+use std::collections::VecDeque;
 
 const STEP: Span = Span::millis(20);
-const KEEPER: &str = "store-1";
+const LEADER: &str = "store-1";
 const FAST: &str = "store-2";
 const SLOW: &str = "store-3";
 const PARTITIONS: u32 = 8;
-const CHARTER: &str = r#"{"revision":1,"spool":8,"services":[{"name":"s"}],
+const CONFIG: &str = r#"{"revision":1,"spool":8,"services":[{"name":"s"}],
   "routes":[{"name":"r","host":"h","prefix":"/a/","service":"s","attempts":3,"attempt_ms":1000,"verdict_ms":80}]}"#;
 
 fn in_own_zone(name: &str) -> Member {
-    Member { disk: Mark(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
+    Member { disk_id: IncarnationId(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
 }
 
 /// Three stores; what one of them says comes a step later.
 struct Stores {
     now: Time,
     cores: BTreeMap<Daemon, Store>,
-    queue: Queue<(Daemon, Event)>,
-    late: Queue<(Daemon, Event)>,
+    queue: VecDeque<(Daemon, Event)>,
+    late: VecDeque<(Daemon, Event)>,
     epoch: u64,
     /// Questions for whole copies.
     copies: usize,
@@ -33,14 +33,14 @@
         let mut stores = Stores {
             now: Time::millis(1_000),
             cores: BTreeMap::new(),
-            queue: Queue::new(),
-            late: Queue::new(),
+            queue: VecDeque::new(),
+            late: VecDeque::new(),
             epoch: 1,
             copies: 0,
         };
-        for name in [KEEPER, FAST, SLOW] {
+        for name in [LEADER, FAST, SLOW] {
             let me = in_own_zone(name);
-            let mark = me.disk;
+            let mark = me.disk_id;
             let settings = Startup { pull: Span::millis(300), seed: mark.0, ..startup(me) };
             let (core, out) = Store::new(settings, &Vec::new(), mark, stores.now);
             stores.cores.insert(daemon(name), core);
@@ -53,10 +53,10 @@
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(_, Msg::Need { asked, .. }) => self.answer(id, asked),
-                Effect::Say(to, msg) if self.cores.contains_key(&to) => {
-                    self.copies += usize::from(matches!(msg, Msg::Fetch { .. }));
-                    let event = Event::Hear { from: id.clone(), msg };
+                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => self.answer(id, asked),
+                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
+                    self.copies += usize::from(matches!(msg, PeerMessage::FetchCopy { .. }));
+                    let event = Event::MessageReceived { from: id.clone(), message: msg };
                     match id.as_str() == SLOW {
                         true => self.late.push_back((to, event)),
                         false => self.queue.push_back((to, event)),
@@ -68,26 +68,33 @@
         }
     }
 
-    /// Grants all partitions to the keeper.
+    /// Grants all partitions to the leader.
     fn answer(&mut self, to: &Daemon, asked: Time) {
         let version = Version { term: Term(1), count: 1 };
-        let members: Vec<Member> = [KEEPER, FAST, SLOW].map(in_own_zone).to_vec();
-        let set: Vec<(Daemon, Mark)> = members.iter().map(|m| (m.id.clone(), m.disk)).collect();
-        let items = vec![(version, Item::Members(members)), (version, Item::Charter(CHARTER.to_string()))];
+        let members: Vec<Member> = [LEADER, FAST, SLOW].map(in_own_zone).to_vec();
+        let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
+        let items = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
         let grant = |part: u32| Grant {
-            duty: Duty::Keep(Rules::spool_place(part)),
+            duty: Duty::Lead(Rules::spool_place(part)),
             epoch: Epoch { term: Term(1), count: self.epoch },
-            set: set.clone(),
-            swap: None,
-            swap_number: Version::ZERO,
-            shed: false,
-            slice: None,
+            write_set: set.clone(),
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
         };
-        let granted = if to.as_str() == KEEPER { PARTITIONS } else { 0 };
+        let granted = if to.as_str() == LEADER { PARTITIONS } else { 0 };
         let grants = (0..granted).map(grant).collect();
         let fresh = Some(Span::millis(2_500));
-        let msg = Msg::News { asked, term: Term(1), fresh, items, grants, late: Vec::new() };
-        self.queue.push_back((to.clone(), Event::Hear { from: daemon("placement-1"), msg }));
+        let msg = PeerMessage::PullResponse {
+            requested_at: asked,
+            term: Term(1),
+            config_valid_for: fresh,
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
     }
 
     fn drain(&mut self) {
@@ -104,65 +111,65 @@
             self.now += STEP;
             self.queue.append(&mut self.late);
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
-                self.queue.push_back((id, Event::Clock));
+                self.queue.push_back((id, Event::Tick));
                 self.drain();
             }
         }
     }
 
-    fn keeps(&self) -> Vec<&Keep> {
-        self.cores[&daemon(KEEPER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
+    fn leader_states(&self) -> Vec<&LeaderState> {
+        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
     }
 
     /// How many partitions have their second copy at each store.
-    fn mates(&self) -> BTreeMap<String, usize> {
-        let mut mates = BTreeMap::new();
-        for keep in self.keeps() {
-            assert_eq!((keep.phase, keep.mates.len()), (Phase::Serving, 1), "{:?}", keep.mates);
-            for mate in keep.mates.keys() {
-                *mates.entry(mate.to_string()).or_default() += 1;
+    fn backups(&self) -> BTreeMap<String, usize> {
+        let mut backups = BTreeMap::new();
+        for leader_state in self.leader_states() {
+            assert_eq!((leader_state.phase, leader_state.backups.len()), (Phase::Serving, 1), "{:?}", leader_state.backups);
+            for backup in leader_state.backups.keys() {
+                *backups.entry(backup.to_string()).or_default() += 1;
             }
         }
-        mates
+        backups
     }
 }
 
 #[test]
 fn second_copies_are_not_all_at_the_store_that_answered_first() {
     let stores = Stores::new();
-    let mates = stores.mates();
-    assert_eq!(stores.keeps().len(), PARTITIONS as usize);
-    assert!(mates.values().all(|count| *count >= 2) && mates.len() == 2, "{mates:?}");
+    let backups = stores.backups();
+    assert_eq!(stores.leader_states().len(), PARTITIONS as usize);
+    assert!(backups.values().all(|count| *count >= 2) && backups.len() == 2, "{backups:?}");
     assert_eq!(stores.copies, 0, "all of them stood alike");
 }
 
 #[test]
 fn a_store_that_would_need_a_copy_is_not_drawn_in() {
     let mut stores = Stores::new();
-    let before = stores.mates();
-    // Each partition goes on with its mate alone; then all are opened anew.
+    let before = stores.backups();
+    // Each partition goes on with its backup alone; then all are opened anew.
     for part in 0..PARTITIONS {
         let body = Bytes::from_static(b"body");
         let id = MessageId(format!("m{part}"));
-        let head = Head { id, crc: crc32(&body), len: 4, ..Head::default() };
-        let msg = Msg::Carry {
-            ask: u64::from(part),
+        let head = MessageHeader { id, crc: crc32(&body), len: 4, ..MessageHeader::default() };
+        let msg = PeerMessage::Submit {
+            request_id: u64::from(part),
             proxy: daemon("proxy-1"),
             via: None,
-            again: false,
-            place: Rules::spool_place(part),
+            wants_refusal: false,
+            partition: Rules::spool_place(part),
             version: Version::ZERO,
-            head,
+            header: head,
             body,
-            stamp: None,
-            refuse: None,
+            age_bound: None,
+            refusal: None,
         };
-        stores.queue.push_back((daemon(KEEPER), Event::Hear { from: daemon("proxy-1"), msg }));
+        stores.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
     }
     stores.run(1_000);
     stores.epoch = 2;
     stores.run(4_000);
-    let after = stores.mates();
+    let after = stores.backups();
     assert_eq!(after.values().sum::<usize>(), PARTITIONS as usize);
     assert_eq!(stores.copies, 0, "{before:?} to {after:?}");
 }
--- a/crates/waitlist/tests/success_and_news.rs
+++ b/crates/queue/tests/success_and_news.rs
@@ -2,7 +2,7 @@
 //! order: its message is never handed out again (issue 32).
 mod pair;
 mod settings;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use pair::*;
 use settings::*;
 
@@ -39,11 +39,23 @@
     all
 }
 
-fn tell(pair: &mut Pair, told: Told) {
+fn tell(pair: &mut Pair, told: AttemptOutcome) {
     let offer = &pair.offers[0];
-    let (id, stage, epoch, attempt) = (offer.head.id.clone(), offer.stage, offer.epoch, offer.attempt);
-    let one = Settled { place: place(), id, epoch, attempt, stage, told, seal: "seal".into(), ended_ago: Span::ZERO };
-    pair.step(0, Event::Hear { from: daemon("delivery-1"), msg: Msg::Settled { all: vec![one] } });
+    let (id, stage, epoch, attempt) = (offer.header.id.clone(), offer.stage, offer.epoch, offer.attempt);
+    let one = AttemptResult {
+        partition: place(),
+        id,
+        epoch,
+        attempt,
+        stage,
+        outcome: told,
+        completion_token: "seal".into(),
+        ended_ago: Span::ZERO,
+    };
+    pair.step(
+        0,
+        Event::MessageReceived { from: daemon("delivery-1"), message: PeerMessage::AttemptResults { entries: vec![one] } },
+    );
 }
 
 fn change(pair: &mut Pair, change: Change) {
@@ -51,8 +63,8 @@
     match change {
         Change::NewLife => pair.reach(SECOND, now),
         Change::LateRoom => pair.reach(FIRST, now),
-        Change::ToldAgain => tell(pair, Told::Success),
-        Change::LateDoubt => tell(pair, Told::Doubt),
+        Change::ToldAgain => tell(pair, AttemptOutcome::Success),
+        Change::LateDoubt => tell(pair, AttemptOutcome::Unknown),
         Change::Time => pair.run(Span::secs(4)),
     }
 }
@@ -65,7 +77,7 @@
         pair.carry();
         pair.run(Span::millis(100));
         assert_eq!(pair.offers.len(), 1);
-        tell(&mut pair, Told::Success);
+        tell(&mut pair, AttemptOutcome::Success);
         for one in &order {
             change(&mut pair, *one);
             pair.run(Span::millis(300));
--- a/crates/waitlist/tests/trio/mod.rs
+++ b/crates/queue/tests/trio/mod.rs
@@ -1,11 +1,11 @@
 //! Three stores of one write set, driven by steps. Placement is played by the
-//! fixture: it grants the one partition to `keeper` under `epoch`.
+//! fixture: it grants the one partition to `leader` under `epoch`.
 #![allow(dead_code)]
 use crate::settings::*;
-use dw_waitlist::prelude::*;
+use dw_queue::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
-pub const CHARTER: &str = include_str!("../../../../samples/kharita/charter.json");
+pub const CONFIG: &str = include_str!("../../../../samples/kharita/charter.json");
 pub const STEP: Span = Span::millis(20);
 pub const TERM: Term = Term(1);
 
@@ -13,12 +13,12 @@
     daemon(&format!("store-{n}"))
 }
 
-pub fn place() -> Place {
-    Place { tenant: "curators".into(), waitlist: "sheets".into(), part: 1 }
+pub fn place() -> PartitionId {
+    PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 1 }
 }
 
 pub fn numbered(n: u64) -> Member {
-    Member { disk: Mark(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
+    Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) }
 }
 
 pub fn settings_of(n: u64) -> Startup {
@@ -37,15 +37,15 @@
     pub disks: BTreeMap<Daemon, Disk>,
     pub queue: VecDeque<(Daemon, Event)>,
     pub epoch: u64,
-    pub keeper: u64,
+    pub leader: u64,
     /// Attempts noted to deliveries.
     pub noted: Vec<(Daemon, u64)>,
     /// Attempts handed out.
     pub offers: Vec<Offer>,
     /// What a seeker was last shown.
-    pub shown: Option<Found>,
+    pub shown: Option<LookupResult>,
     /// Told to the proxy, by ask.
-    pub told: BTreeMap<u64, Carried>,
+    pub told: BTreeMap<u64, SubmitOutcome>,
     /// The latest report of each store.
     pub reports: BTreeMap<Daemon, Report>,
 }
@@ -59,7 +59,7 @@
             disks: BTreeMap::new(),
             queue: VecDeque::new(),
             epoch: 1,
-            keeper: 1,
+            leader: 1,
             noted: Vec::new(),
             offers: Vec::new(),
             shown: None,
@@ -67,7 +67,7 @@
             reports: BTreeMap::new(),
         };
         for n in 1..=3 {
-            let (core, out) = Store::new(settings_of(n), &Vec::new(), Mark(n), fleet.now);
+            let (core, out) = Store::new(settings_of(n), &Vec::new(), IncarnationId(n), fleet.now);
             fleet.stores.insert(store(n), core);
             fleet.disks.insert(store(n), Disk::default());
             fleet.obey(&store(n), out);
@@ -77,7 +77,7 @@
         fleet
     }
 
-    pub fn own(&self, n: u64) -> Option<&Keep> {
+    pub fn own(&self, n: u64) -> Option<&LeaderState> {
         self.stores[&store(n)].parts.get(&place()).and_then(|part| part.own.as_ref())
     }
 
@@ -98,43 +98,59 @@
         self.queue.push_back((store(n), Event::DiskStuck(false)));
     }
 
-    pub fn news(&self, asked: Time, to: &Daemon) -> Msg {
+    pub fn news(&self, asked: Time, to: &Daemon) -> PeerMessage {
         let version = |count| Version { term: TERM, count };
         let epoch = Epoch { term: TERM, count: self.epoch };
-        let placing = Placing { keeper: store(self.keeper), epoch };
+        let placing = PartitionLocation { leader: store(self.leader), epoch };
         let items = vec![
-            (version(1), Item::Charter(CHARTER.to_string())),
-            (version(1), Item::Members((1..=3).map(numbered).collect())),
-            (version(self.epoch), Item::Places(vec![(place(), placing)])),
+            (version(1), Update::Config(CONFIG.to_string())),
+            (version(1), Update::Members((1..=3).map(numbered).collect())),
+            (version(self.epoch), Update::Partitions(vec![(place(), placing)])),
         ];
-        let set = (1..=3).map(|n| (store(n), Mark(n))).collect();
-        let grant =
-            Grant { duty: Duty::Keep(place()), epoch, set, swap: None, swap_number: Version::ZERO, shed: false, slice: None };
-        let grants = if *to == store(self.keeper) { vec![grant] } else { Vec::new() };
-        Msg::News { asked, term: TERM, fresh: Some(Span::secs(2)), items, grants, late: Vec::new() }
+        let set = (1..=3).map(|n| (store(n), IncarnationId(n))).collect();
+        let grant = Grant {
+            duty: Duty::Lead(place()),
+            epoch,
+            write_set: set,
+            replacement: None,
+            replacement_number: Version::ZERO,
+            release_requested: false,
+            slot_range: None,
+        };
+        let grants = if *to == store(self.leader) { vec![grant] } else { Vec::new() };
+        PeerMessage::PullResponse {
+            requested_at: asked,
+            term: TERM,
+            config_valid_for: Some(Span::secs(2)),
+            updates: items,
+            grants,
+            late_stores: Vec::new(),
+        }
     }
 
     pub fn obey(&mut self, from: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Say(to, msg) if self.stores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::Hear { from: from.clone(), msg }));
+                Effect::Send(to, msg) if self.stores.contains_key(&to) => {
+                    self.queue.push_back((to, Event::MessageReceived { from: from.clone(), message: msg }));
+                }
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: word, .. }) => {
+                    _ = self.told.insert(ask, word)
                 }
-                Effect::Say(_, Msg::Carried { ask, word, .. }) => _ = self.told.insert(ask, word),
-                Effect::Say(_, Msg::Offers { all, .. }) => self.offers.extend(all),
-                Effect::Say(_, Msg::Peeked { found, .. }) => self.shown = Some(found),
-                Effect::Say(to, Msg::Noted { all }) => {
+                Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.offers.extend(all),
+                Effect::Send(_, PeerMessage::LookupResponse { result: found, .. }) => self.shown = Some(found),
+                Effect::Send(to, PeerMessage::ResultsRecorded { entries: all }) => {
                     self.noted.extend(all.into_iter().map(|(_, _, attempt)| (to.clone(), attempt)));
                 }
-                Effect::Say(to, Msg::Need { asked, report: Some(report), .. }) => {
-                    let given = report.gave.iter().any(|(_, epoch)| epoch.count == self.epoch);
+                Effect::Send(to, PeerMessage::Pull { requested_at: asked, report: Some(report), .. }) => {
+                    let given = report.released.iter().any(|(_, epoch)| epoch.count == self.epoch);
                     self.reports.insert(from.clone(), report);
                     if given {
                         self.epoch += 1;
-                        self.keeper = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.keeper);
+                        self.leader = (1..=3).find(|n| self.fit(*n)).unwrap_or(self.leader);
                     }
                     let msg = self.news(asked, from);
-                    self.queue.push_back((from.clone(), Event::Hear { from: to, msg }));
+                    self.queue.push_back((from.clone(), Event::MessageReceived { from: to, message: msg }));
                 }
                 Effect::Save { n, .. } => match &mut self.disks.get_mut(from).unwrap().waiting {
                     Some(waiting) => waiting.push(n),
@@ -169,7 +185,7 @@
             self.settle();
             self.now += STEP;
             for n in 1..=3 {
-                self.queue.push_back((store(n), Event::Clock));
+                self.queue.push_back((store(n), Event::Tick));
             }
         }
         self.settle();
@@ -177,38 +193,38 @@
 
     pub fn carry(&mut self, ask: u64, to: u64) {
         let body = Bytes::from(format!("body of {ask}"));
-        let head = Head {
+        let head = MessageHeader {
             id: MessageId(format!("m{ask}")),
             key: String::new(),
             seq: 0,
             crc: crc32(&body),
             len: body.len() as u32,
-            desk: String::new(),
+            callback: String::new(),
             ttl: None,
             route: String::new(),
-            parcel: None,
-            born: 0,
+            caller_request: None,
+            accepted_unix_micros: 0,
             delay: Span::ZERO,
-            seal: String::new(),
+            completion_token: String::new(),
         };
-        let reading = Some(Reading { life: Mark(1), at: self.now });
-        let msg = Msg::Carry {
-            ask,
+        let reading = Some(ClockReading { incarnation: IncarnationId(1), at: self.now });
+        let msg = PeerMessage::Submit {
+            request_id: ask,
             proxy: daemon("proxy-1"),
             via: None,
-            again: false,
-            place: place(),
+            wants_refusal: false,
+            partition: place(),
             version: Version { term: TERM, count: 1 },
-            head,
+            header: head,
             body,
-            stamp: Some(Stamp { reading, age: Span::ZERO }),
-            refuse: None,
+            age_bound: Some(AgeBound { clock: reading, age: Span::ZERO }),
+            refusal: None,
         };
-        self.queue.push_back((store(to), Event::Hear { from: daemon("proxy-1"), msg }));
+        self.queue.push_back((store(to), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
         self.settle();
     }
 
     pub fn accepted(&self, ask: u64) -> bool {
-        matches!(self.told.get(&ask), Some(Carried::Accepted { .. }))
+        matches!(self.told.get(&ask), Some(SubmitOutcome::Accepted { .. }))
     }
 }
--- a/crates/scale/src/axes/destinations.rs
+++ b/crates/scale/src/axes/destinations.rs
@@ -1,4 +1,4 @@
-//! By the number of outside destinations: each is an endpoint, a waitlist
+//! By the number of outside destinations: each is an endpoint, a queue
 //! with one partition, and two duties.
 use super::{control_bytes, each, heap, micros, sizes};
 use crate::prelude::*;
@@ -8,7 +8,7 @@
     for n in sizes(quick, &[10, 100, 300, 1000]) {
         let shape =
             Shape { stores: 6, deliveries: 6, edges: 2, tenants: 1, lists: 1, parts: 1, destinations: n, ..Shape::default() };
-        let text = shape.charter_text();
+        let text = shape.config_text();
         let mut f = Fleet::new(shape);
         let Some(primary) = f.settle(n + 1) else { continue };
         f.run(Span::secs(3));
@@ -21,8 +21,12 @@
         axis.either("primary: processor time, us/s", "us/s", x, p.nanos() as f64 / 1e3 / secs);
         axis.line("primary: memory, bytes", "bytes", x, p.heap as f64);
         axis.line("primary: control, bytes/s", "B/s", x, p.control_bytes() as f64 / secs);
-        for (name, kind) in [("store", Kind::Store), ("delivery", Kind::Delivery), ("agent", Kind::Agent), ("proxy", Kind::Proxy)]
-        {
+        for (name, kind) in [
+            ("store", DaemonKind::Store),
+            ("delivery", DaemonKind::Delivery),
+            ("agent", DaemonKind::Agent),
+            ("proxy", DaemonKind::Proxy),
+        ] {
             axis.either(&format!("{name}: processor time, us/s"), "us/s", x, micros(&f, kind, secs));
             axis.line(&format!("{name}: control, bytes/s"), "B/s", x, control_bytes(&f, kind, secs));
             axis.line(&format!("{name}: memory, bytes"), "bytes", x, heap(&f, kind));
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -1,7 +1,7 @@
-//! What a hollow fleet is made of: its charter, its members and the hard
+//! What a hollow fleet is made of: its configuration, its members and the hard
 //! state they were taken in by.
 use crate::prelude::*;
-use dw_charter::prelude::Charter;
+use dw_config::prelude::Config;
 use dw_election::prelude::{Configuration, HardState, Snapshot, Voter};
 use dw_placement::prelude::Hard;
 use serde_json::{json, Value};
@@ -16,10 +16,10 @@
     /// Agents without a proxy: daemons that only hear news.
     pub agents: usize,
     pub tenants: usize,
-    /// Waitlists of each tenant that go to workers.
+    /// Queues of each tenant that go to workers.
     pub lists: usize,
     pub parts: u32,
-    /// Outside endpoints, each with a waitlist of its own.
+    /// Outside endpoints, each with a queue of its own.
     pub destinations: usize,
     pub workers: usize,
     pub zones: usize,
@@ -45,10 +45,10 @@
 /// Destinations of one tenant.
 pub const OF_TENANT: usize = 50;
 
-pub const LIFE: Mark = Mark(0x5ca1_0001);
+pub const LIFE: IncarnationId = IncarnationId(0x5ca1_0001);
 
-pub fn mark_of(d: &Daemon) -> Mark {
-    Mark(hash_of(d.as_str().as_bytes()) | 1)
+pub fn mark_of(d: &Daemon) -> IncarnationId {
+    IncarnationId(hash_of(d.as_str().as_bytes()) | 1)
 }
 
 impl Shape {
@@ -78,15 +78,15 @@
             zone: self.zone_of(d),
             addr: format!("{ip}:7000"),
             http: format!("{ip}:8000"),
-            life: LIFE,
-            disk: if d.kind() == Kind::Store { mark_of(d) } else { Mark(0) },
+            incarnation: LIFE,
+            disk_id: if d.kind() == DaemonKind::Store { mark_of(d) } else { IncarnationId(0) },
             machine: String::new(),
         }
     }
     /// Who pulls from the primary itself: its own replicas and the proxies,
     /// fed by their agents, are nobody's members.
     pub fn members(&self) -> Vec<Member> {
-        let pulls = |d: &&Daemon| !matches!(d.kind(), Kind::Placement | Kind::Proxy);
+        let pulls = |d: &&Daemon| !matches!(d.kind(), DaemonKind::Placement | DaemonKind::Proxy);
         self.names().iter().filter(pulls).map(|d| self.member(d)).collect()
     }
     pub fn tenant(n: usize) -> String {
@@ -96,7 +96,7 @@
         format!("list-{n:04}")
     }
 
-    pub fn charter(&self) -> Value {
+    pub fn config(&self) -> Value {
         let mut tenants: Vec<Value> =
             (0..self.tenants).map(|n| json!({"name": Shape::tenant(n), "template": "work", "share": 10})).collect();
         let lists: Vec<Value> = (0..self.lists)
@@ -120,18 +120,18 @@
     }
 
     /// As the primary writes it down: in one canonical form.
-    pub fn charter_text(&self) -> String {
-        let read: Result<Charter, _> = serde_json::from_value(self.charter());
+    pub fn config_text(&self) -> String {
+        let read: Result<Config, _> = serde_json::from_value(self.config());
         read.ok().and_then(|c| serde_json::to_string(&c).ok()).unwrap_or_default()
     }
 
     /// The hard state of a fleet that has stood for a while: all members are
-    /// taken in, the charter is in force and write sets are laid out.
+    /// taken in, the configuration is in force and write sets are laid out.
     pub fn hard(&self) -> Hard {
         let first = Version { term: Term(1), count: 1 };
-        let charter = self.charter_text();
-        let rules = dw_charter::check::read(&charter).map(|c| dw_charter::prelude::compile(&c, first)).unwrap_or_default();
-        let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == Kind::Store).collect();
+        let config = self.config_text();
+        let rules = dw_config::check::read(&config).map(|c| dw_config::prelude::compile(&c, first)).unwrap_or_default();
+        let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
         let mut layout = BTreeMap::new();
         for place in rules.lists.values().flat_map(|r| r.places()) {
             let at = hash_of(place.to_string().as_bytes()) as usize;
@@ -139,8 +139,8 @@
             layout.insert(place, set.collect());
         }
         Hard {
-            charter,
-            charter_version: first,
+            config,
+            config_version: first,
             members: self.members().into_iter().map(|m| (m.id.clone(), m)).collect(),
             members_version: first,
             layout,
@@ -152,12 +152,12 @@
     pub fn folder(&self, d: &Daemon, hard: &Hard) -> Vec<(String, Bytes)> {
         let voter = |seed: &Daemon| {
             let member = self.member(seed);
-            Voter { mark: mark_of(seed), address: member.addr, zone: member.zone }
+            Voter { disk_id: mark_of(seed), address: member.addr, zone: member.zone }
         };
-        let configuration = Configuration::of(self.seeds().iter().map(|seed| (seed.clone(), voter(seed))).collect());
+        let configuration = Configuration::simple(self.seeds().iter().map(|seed| (seed.clone(), voter(seed))).collect());
         let snapshot = Snapshot { index: 8, term: Term(1), configuration, data: encode(hard).into() };
         let stored: HardState<Order> =
-            HardState { mark: mark_of(d), founded: true, term: Term(1), vote: None, snapshot, log: Vec::new() };
+            HardState { disk_id: mark_of(d), initialized: true, term: Term(1), vote: None, snapshot, log: Vec::new() };
         vec![(format!("hard-{:016x}", 1), Bytes::from(encode(&stored)))]
     }
 
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -137,7 +137,8 @@
     pub pull: u64,
     pub lease: u64,
     pub drift_percent: u64,
-    pub charter_lease: u64,
+    #[serde(rename = "charter_lease")]
+    pub config_lease: u64,
     pub election_still: u64,
     pub election_beat: u64,
     pub window: u64,
@@ -157,7 +158,7 @@
             pull: 400,
             lease: 3000,
             drift_percent: 5,
-            charter_lease: 2500,
+            config_lease: 2500,
             election_still: 900,
             election_beat: 200,
             window: 1000,
@@ -220,8 +221,8 @@
 }
 
 impl Times {
-    pub fn terms(&self) -> Terms {
-        Terms { length: Span::millis(self.lease), drift: self.drift_percent }
+    pub fn terms(&self) -> LeaseTerms {
+        LeaseTerms { length: Span::millis(self.lease), drift_percent: self.drift_percent }
     }
     /// The longest a partition can be without service after one hard fault:
     /// both leases out, a primary elected, reports in, resting attempts over.
@@ -234,12 +235,12 @@
         let rules = [
             (self.pull * 3 > self.lease, "times.pull is over a third of times.lease", "pull three times within a lease"),
             (
-                self.pull * 3 > self.charter_lease,
+                self.pull * 3 > self.config_lease,
                 "times.pull is over a third of times.charter_lease",
                 "pull three times within it",
             ),
             (
-                self.charter_lease > 2800,
+                self.config_lease > 2800,
                 "times.charter_lease is over 2800",
                 "keep it at 2800 or less, so that a charter is in force within 3 s",
             ),
@@ -343,14 +344,14 @@
         let a = self.agent.as_ref().context(NeededSnafu { key: "agent" })?;
         named("agent", a)
     }
-    pub fn member(&self, life: Mark) -> Member {
+    pub fn member(&self, life: IncarnationId) -> Member {
         Member {
             id: Daemon(self.id.clone()),
             zone: Zone(self.zone.clone()),
             addr: self.announce.clone().unwrap_or_else(|| self.listen.clone()),
             http: self.fronts.first().unwrap_or(&self.http).clone(),
-            life,
-            disk: Mark(0),
+            incarnation: life,
+            disk_id: IncarnationId(0),
             machine: self.machine.clone(),
         }
     }
--- a/crates/sim/src/world/acts.rs
+++ b/crates/sim/src/world/acts.rs
@@ -198,10 +198,12 @@
                 }
                 self.check.unbar(&w);
             }
-            Act::Order(w) => self.operate(Ask::Drain { worker: WorkerId(w.clone()), on: true }, "", &format!("drain {w}")),
+            Act::Order(w) => {
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w.clone()), draining: true }, "", &format!("drain {w}"))
+            }
             Act::Unorder(w) => {
                 self.check.unbar(&w);
-                self.operate(Ask::Drain { worker: WorkerId(w), on: false }, "", "undrain");
+                self.operate(ApiRequest::DrainWorker { worker: WorkerId(w), draining: false }, "", "undrain");
             }
             Act::Lose(w, n) => {
                 if let Some(m) = self.out.moods.get_mut(&w) {
@@ -218,12 +220,14 @@
                     m.slow = s;
                 }
             }
-            Act::Empty(z) => {
-                self.operate(Ask::Zone { zone: Zone(z.clone()), empty: true, sure: false }, "", &format!("empty {z}"))
-            }
+            Act::Empty(z) => self.operate(
+                ApiRequest::SetZoneEmpty { zone: Zone(z.clone()), empty: true, force: false },
+                "",
+                &format!("empty {z}"),
+            ),
             Act::Restore(z) => {
                 self.check.restore_zone(&z);
-                self.operate(Ask::Zone { zone: Zone(z), empty: false, sure: false }, "", "restore");
+                self.operate(ApiRequest::SetZoneEmpty { zone: Zone(z), empty: false, force: false }, "", "restore");
             }
             Act::List(x) => {
                 self.out.list_down = x == "down";
@@ -234,31 +238,31 @@
                 shares.iter_mut().filter(|s| s.0 == t).for_each(|s| s.1 = n);
                 self.shares = shares.clone();
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
-                self.state_charter("share", &shares, &base);
+                self.send_config("share", &shares, &base);
             }
             Act::Race(a, b) => {
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
                 for n in [a, b] {
                     let mut shares = self.shares.clone();
                     shares[0].1 = n;
-                    self.state_charter("race", &shares, &base);
+                    self.send_config("race", &shares, &base);
                 }
             }
-            Act::BadCharter => {
+            Act::BadConfig => {
                 let base = self.acked.as_ref().map_or("0.0".into(), |a| a.0.clone());
-                let mut c = charter(&self.shares);
+                let mut c = config(&self.shares);
                 c["tenants"][0]["share"] = json!(0);
-                let charge = Charge { op: "bad".into(), base, json: c.to_string(), patch: false };
-                self.operate(Ask::Apply(charge), "", "charter bad");
+                let charge = ApplyRequest { operation_id: "bad".into(), base, json: c.to_string(), is_patch: false };
+                self.operate(ApiRequest::Apply(charge), "", "charter bad");
             }
             Act::Poison(n) => self.poison = n,
             Act::Mix(n) => self.mix = n,
             Act::Rate(n) => self.rate = n,
             Act::PlanRetire(w) => {
-                let ask = Ask::Plan { charter: None, empty: None, retire: Some(Daemon(w)) };
+                let ask = ApiRequest::Plan { config: None, empty: None, retire: Some(Daemon(w)) };
                 self.operate(ask, "", "plan");
             }
-            Act::Retire(w) => self.operate(Ask::Retire { store: Daemon(w) }, "", "retire"),
+            Act::Retire(w) => self.operate(ApiRequest::RetireStore { store: Daemon(w) }, "", "retire"),
             Act::Fleet(act) => self.fleet_act(act),
         }
     }
--- a/crates/sim/src/world/operators.rs
+++ b/crates/sim/src/world/operators.rs
@@ -1,11 +1,11 @@
-//! Operators: charters and orders, and what they are told.
+//! Operators: configurations and orders, and what they are told.
 
 use crate::prelude::*;
 use serde_json::{json, Value};
 
 impl World {
     /// The operator asks every placement daemon; the primary answers.
-    pub fn operate(&mut self, ask: Ask, base: &str, what: &str) {
+    pub fn operate(&mut self, ask: ApiRequest, base: &str, what: &str) {
         let (base, what) = (base.to_string(), what.to_string());
         for to in self.placements() {
             let asked = Asked::Operator { base: base.clone(), what: what.clone() };
@@ -13,17 +13,17 @@
         }
     }
 
-    pub fn state_charter(&mut self, what: &str, shares: &[(String, u32)], base: &str) {
-        let json = charter(shares).to_string();
+    pub fn send_config(&mut self, what: &str, shares: &[(String, u32)], base: &str) {
+        let json = config(shares).to_string();
         let op = format!("op-{what}-{}", self.next_ask);
         self.operate(
-            Ask::Apply(Charge { op, base: base.into(), json: json.clone(), patch: false }),
+            ApiRequest::Apply(ApplyRequest { operation_id: op, base: base.into(), json: json.clone(), is_patch: false }),
             base,
             &format!("charter {json}"),
         );
     }
 
-    pub(super) fn operated(&mut self, base: String, what: String, v: Option<Verdict>) {
+    pub(super) fn operated(&mut self, base: String, what: String, v: Option<ApiResponse>) {
         let unsure = v.as_ref().is_none_or(|v| v.code == 504);
         if let (true, Some(json)) = (unsure, what.strip_prefix("charter ")) {
             self.maybe.push(json.to_string());
@@ -50,7 +50,7 @@
                 self.check.flag(format!("a charter made from {base} was acknowledged over {:?}", self.acked));
             }
             self.soon(Span::secs(3), Ev::InForce(version.clone()));
-            if let Ok(c) = dw_charter::check::read(json) {
+            if let Ok(c) = dw_config::check::read(json) {
                 let shares = c.tenants.into_iter().map(|t| (t.name, t.share)).collect();
                 self.check.shares(shares, self.now);
             }
@@ -74,7 +74,7 @@
             self.count("shown", 1);
             let shown = j["charter"].clone();
             let Some((version, json)) = self.acked.clone() else { return };
-            let whole = |json: &str| dw_charter::check::read(json).ok().and_then(|c| serde_json::to_value(c).ok());
+            let whole = |json: &str| dw_config::check::read(json).ok().and_then(|c| serde_json::to_value(c).ok());
             let later = self.maybe.iter().any(|m| whole(m).as_ref() == Some(&shown));
             let same = j["version"].as_str() == Some(&version) && whole(&json) == Some(shown);
             if !same && !later {
@@ -86,7 +86,7 @@
     /// Whether a partition is served and every duty held.
     pub fn ready(&mut self) -> bool {
         let mut serving = 0;
-        for id in founders().into_iter().filter(|d| d.kind() == Kind::Store) {
+        for id in founders().into_iter().filter(|d| d.kind() == DaemonKind::Store) {
             let Some(j) = self.status(&id) else { return false };
             for p in j["places"].as_array().into_iter().flatten() {
                 serving += u64::from(p["phase"] == "serving");
@@ -95,7 +95,7 @@
         serving == 12
     }
 
-    /// No daemon may now act by an older charter: it holds this one or a
+    /// No daemon may now act by an older configuration: it holds this one or a
     /// later, or says itself that it can't confirm what it holds.
     pub(super) fn in_force(&mut self, version: &str) {
         let read = |v: &str| -> Option<(u64, u64)> {
@@ -103,7 +103,7 @@
             Some((a.parse().ok()?, b.parse().ok()?))
         };
         let want = read(version);
-        for id in self.all(None).into_iter().filter(|d| d.kind() != Kind::Placement) {
+        for id in self.all(None).into_iter().filter(|d| d.kind() != DaemonKind::Placement) {
             let Some(j) = self.status(&id) else { continue };
             let held = j["charter"].as_str().and_then(read);
             if j["fresh"] == json!(true) && held < want {
--- a/crates/wire/src/copy.rs
+++ b/crates/wire/src/copy.rs
@@ -9,9 +9,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyPosition {
     /// The last record received.
-    pub after: MessageId,
+    #[serde(rename = "after")]
+    pub last_id: MessageId,
     /// The operation at which the records up to it stand.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub last_op: u64,
 }
 
 /// Asks for the next part.
@@ -30,15 +32,17 @@
     /// source no longer keeps the operations since the position asked from.
     pub from: Option<CopyPosition>,
     /// Operations since then on records up to there, in order.
-    pub ops: Vec<Op>,
+    pub ops: Vec<PartitionOp>,
     /// Bytes that were asked for, of those records that still have them.
     pub bodies: Vec<(MessageId, Bytes)>,
     /// The next records, by name, without their bytes.
-    pub records: Vec<(Head, Stage)>,
+    pub records: Vec<(MessageHeader, Stage)>,
     /// The operation at which all of this stands.
-    pub n: u64,
+    #[serde(rename = "n")]
+    pub last_op: u64,
     /// The next place in the partition's order.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_seq: u64,
     /// No records come after these.
     pub complete: bool,
 }
--- a/programs/src/fleet/soak.rs
+++ b/programs/src/fleet/soak.rs
@@ -1,5 +1,5 @@
 //! Troubles for a soak, drawn from a seed: kills, planned ends, pauses, cuts,
-//! lost answers, signals and changes of the charter, two or three of them at a
+//! lost answers, signals and changes of the configuration, two or three of them at a
 //! time; at times one strikes a daemon as soon as the last on it is over. Beside
 //! them the stores lose their disks in turn.
 use crate::fleet::prelude::*;
@@ -137,8 +137,8 @@
 /// What the daemons' logs tell of their own invariants: each line of an event
 /// that is always a fault.
 pub fn violations(folder: &Path) -> std::io::Result<Vec<String>> {
-    let events =
-        [Note::AttemptOutlived, Note::EndedHandedOut, Note::Stranded].map(|note| format!(" {} {}", note.number(), note.what()));
+    let events = [LogEvent::AttemptOverran, LogEvent::EndedMessageDequeued, LogEvent::StrandedMessageRequeued]
+        .map(|note| format!(" {} {}", note.number(), note.description()));
     let mut found = Vec::new();
     for entry in std::fs::read_dir(folder)? {
         let path = entry?.path();
