--- a/crates/delivery/src/endpoint.rs
+++ b/crates/delivery/src/endpoint.rs
@@ -5,22 +5,22 @@
 #[derive(Debug)]
 pub struct EndpointState {
     pub epoch: Epoch,
-    pub rate_limiter: Allowance,
-    pub breaker: Breaker,
+    pub rate_limiter: RateLimiter,
+    pub breaker: CircuitBreaker,
     /// Calls in progress there.
     pub open_calls: u32,
     /// Attempts that wait for the endpoint, queued fairly by the tenants' shares.
-    pub waiting: Lanes<AttemptId>,
+    pub waiting: FairQueues<AttemptId>,
 }
 
 impl EndpointState {
     pub fn new(epoch: Epoch, rate: u32, now: Time) -> EndpointState {
         EndpointState {
             epoch,
-            rate_limiter: Allowance::new(rate, now),
-            breaker: Breaker::new(5, Span::secs(5)),
+            rate_limiter: RateLimiter::with_window_limit(rate, now),
+            breaker: CircuitBreaker::new(5, Span::secs(5)),
             open_calls: 0,
-            waiting: Lanes::default(),
+            waiting: FairQueues::default(),
         }
     }
 }
--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -36,15 +36,15 @@
             Duty::Endpoint(name) => {
                 let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
                 let Some(endpoint) = self.endpoints.get_mut(name) else { return 0 };
-                if endpoint.breaker.open(now) {
+                if endpoint.breaker.is_open(now) {
                     return 0;
                 }
-                if endpoint.breaker.wary() {
+                if endpoint.breaker.is_tripped() {
                     return 1;
                 }
                 // One second's worth from each store, so that messages of all tenants
                 // wait here and the fair queues can choose among them.
-                slots.min(endpoint.rate_limiter.pace() as u32).max(1)
+                slots.min(endpoint.rate_limiter.sends_per_second() as u32).max(1)
             }
         }
     }
@@ -53,23 +53,23 @@
     /// partitions this daemon holds.
     pub(super) fn send_capacity(&mut self, now: Time) {
         self.capacity_sent_at = now;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return;
         }
         let mut by_leader: BTreeMap<Daemon, LeaderCapacity> = BTreeMap::new();
-        for (p, x) in &self.link.places {
+        for (p, x) in &self.link.partition_locations {
             by_leader.entry(x.leader.clone()).or_default().1.push((p.clone(), x.epoch));
         }
-        for (duty, epoch) in self.link.held.live(now) {
+        for (duty, epoch) in self.link.leases.active(now) {
             if matches!(duty, Duty::TargetShard(_)) {
                 continue;
             }
             let capacity = self.capacity_for(&duty, now);
-            let held_for = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
+            let held_for = self.link.held_since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
             let entry = Capacity { duty: duty.clone(), epoch, capacity, held_for };
             for (leader, (duties, partitions)) in by_leader.iter_mut() {
                 let concerned = match &duty {
-                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.leader == *leader),
+                    Duty::Deliver(p) => self.link.partition_locations.get(p).is_some_and(|x| x.leader == *leader),
                     _ => !partitions.is_empty(),
                 };
                 if concerned {
--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -18,8 +18,8 @@
 /// An address that is in no worker list. Invariant: `open_calls` counts the calls in
 /// progress there.
 struct AddressState {
-    rate_limiter: Option<Allowance>,
-    breaker: Breaker,
+    rate_limiter: Option<RateLimiter>,
+    breaker: CircuitBreaker,
     open_calls: u32,
     /// How many requests it runs at once, by its last answer; 0 if unknown.
     slots: u32,
@@ -29,7 +29,13 @@
 
 impl Default for AddressState {
     fn default() -> AddressState {
-        AddressState { rate_limiter: None, breaker: Breaker::new(3, Span::secs(1)), open_calls: 0, slots: 0, full_until: Time(0) }
+        AddressState {
+            rate_limiter: None,
+            breaker: CircuitBreaker::new(3, Span::secs(1)),
+            open_calls: 0,
+            slots: 0,
+            full_until: Time(0),
+        }
     }
 }
 
@@ -105,8 +111,8 @@
     /// Treats the workers of a zone that is taken back into use as cold: they may have
     /// become so meanwhile.
     pub(super) fn update_emptied_zones(&mut self, now: Time) {
-        let reopened: Vec<Zone> = self.routed.emptied_zones.difference(&self.link.empty).cloned().collect();
-        self.routed.emptied_zones.clone_from(&self.link.empty);
+        let reopened: Vec<Zone> = self.routed.emptied_zones.difference(&self.link.emptied_zones).cloned().collect();
+        self.routed.emptied_zones.clone_from(&self.link.emptied_zones);
         for w in self.workers.values_mut().filter(|w| reopened.contains(&w.info.zone)) {
             let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_ms));
             w.cold_until = w.cold_until.max(now + cold);
@@ -116,7 +122,7 @@
 
     /// Whether this daemon holds the duty to send routed messages to a worker.
     fn may_send_to_worker(&self, w: &WorkerState, now: Time) -> bool {
-        self.link.may(&Duty::for_worker(&w.info.zone, &w.info.id), now).is_some()
+        self.link.active_epoch(&Duty::for_worker(&w.info.zone, &w.info.id), now).is_some()
     }
 
     /// How many routed messages a worker runs at once.
@@ -132,8 +138,8 @@
         // A worker that could not be reached has to pass a health check first, if its
         // service has one.
         let has_health_check = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health.is_empty());
-        let check_pending = w.connect_breaker.wary() && has_health_check();
-        w.is_usable(&self.link, now) && !w.is_gone && !w.failure_breaker.open(now) && !check_pending
+        let check_pending = w.connect_breaker.is_tripped() && has_health_check();
+        w.is_usable(&self.link, now) && !w.is_gone && !w.failure_breaker.is_open(now) && !check_pending
     }
 
     /// How many routed messages of each service this daemon takes from each of `leaders`
@@ -154,15 +160,15 @@
             // Twice an even share for each leader, because messages don't arrive evenly.
             *n = per_leader(*n * 2).max(1);
         }
-        let mut addresses: Vec<Duty> = self.link.held.live(now).into_iter().map(|x| x.0).collect();
+        let mut addresses: Vec<Duty> = self.link.leases.active(now).into_iter().map(|x| x.0).collect();
         addresses.retain(|d| !takes_nothing && matches!(d, Duty::TargetShard(_)));
         for s in self.link.rules.services.values().filter(|s| !s.address.is_empty()) {
-            if takes_nothing || self.link.may(&Duty::for_unlisted_address(&s.address), now).is_none() {
+            if takes_nothing || self.link.active_epoch(&Duty::for_unlisted_address(&s.address), now).is_none() {
                 continue;
             }
             let capacity = match self.routed.addresses.get(&s.address) {
-                Some(x) if x.breaker.open(now) => 0,
-                Some(x) if x.breaker.wary() => 1,
+                Some(x) if x.breaker.is_open(now) => 0,
+                Some(x) if x.breaker.is_tripped() => 1,
                 _ => per_leader(self.max_address_calls(s) * 2).max(2),
             };
             services.insert(s.name.clone(), capacity);
@@ -244,21 +250,21 @@
 
     /// Whether a message may be sent to an address now.
     fn may_send_to_address(&mut self, addr: &str, service: Option<&Service>, now: Time) -> bool {
-        if self.link.may(&Duty::for_unlisted_address(addr), now).is_none() {
+        if self.link.active_epoch(&Duty::for_unlisted_address(addr), now).is_none() {
             return false;
         }
         let max_calls = service.map_or(DEFAULT_ADDRESS_SLOTS, |s| self.max_address_calls(s));
         let rate = service.map_or(0.0, |s| s.rate);
         let address = self.routed.addresses.entry(addr.to_string()).or_default();
         if rate > 0.0 {
-            let rate_limiter = address.rate_limiter.get_or_insert_with(|| Allowance::per(rate, now));
-            rate_limiter.set(rate);
-            if rate_limiter.room(now) == 0 {
+            let rate_limiter = address.rate_limiter.get_or_insert_with(|| RateLimiter::with_endpoint_rate(rate, now));
+            rate_limiter.set_endpoint_rate(rate);
+            if rate_limiter.available(now) == 0 {
                 return false;
             }
         }
-        let max_calls = if address.breaker.wary() { 1 } else { max_calls };
-        !address.breaker.open(now) && address.open_calls < max_calls && now >= address.full_until
+        let max_calls = if address.breaker.is_tripped() { 1 } else { max_calls };
+        !address.breaker.is_open(now) && address.open_calls < max_calls && now >= address.full_until
     }
 
     /// Chooses where a message of a service is sent now: the least busy of the workers
@@ -276,7 +282,7 @@
                 && self.can_take_routed(w, now)
                 && w.open_calls < self.worker_slots(w)
                 && now >= w.full_until
-                && !(w.failure_breaker.wary() && w.open_calls > 0)
+                && !(w.failure_breaker.is_tripped() && w.open_calls > 0)
         };
         let rotation = self.next_call;
         let best = mine.filter(free).min_by_key(|w| {
@@ -319,7 +325,7 @@
                 if let Some(s) = self.routed.addresses.get_mut(a) {
                     s.open_calls += 1;
                     if let Some(p) = s.rate_limiter.as_mut() {
-                        p.take(now);
+                        p.try_acquire(now);
                     }
                 }
             }
@@ -386,12 +392,12 @@
         let mut event = None;
         match (result, outcome) {
             (CallResult::Failed(SendState::NotSent), _) => {
-                if state.connect_breaker.fail(now) {
+                if state.connect_breaker.record_failure(now) {
                     event = Some((LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
             (_, RunOutcome::Unknown(_)) => {
-                if state.failure_breaker.fail(now) {
+                if state.failure_breaker.record_failure(now) {
                     event = Some((LogEvent::WorkerEjected, id.to_string()));
                 }
             }
@@ -401,7 +407,7 @@
             }
             (_, RunOutcome::NotRun { worker_gone: false }) => state.full_until = now + FULL_PAUSE,
             _ => {
-                if state.connect_breaker.pass() | state.failure_breaker.pass() {
+                if state.connect_breaker.record_success() | state.failure_breaker.record_success() {
                     event = Some((LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
@@ -420,12 +426,12 @@
         }
         let failed = matches!(outcome, RunOutcome::Unknown(_)) || matches!(result, CallResult::Failed(_));
         let event = match outcome {
-            _ if failed => s.breaker.fail(now).then_some(LogEvent::BreakerOpen),
+            _ if failed => s.breaker.record_failure(now).then_some(LogEvent::BreakerOpen),
             RunOutcome::NotRun { .. } => {
                 s.full_until = now + FULL_PAUSE;
                 None
             }
-            _ => s.breaker.pass().then_some(LogEvent::BreakerClosed),
+            _ => s.breaker.record_success().then_some(LogEvent::BreakerClosed),
         };
         if let Some(event) = event {
             self.effects.push(Effect::Log(event, addr.to_string()));
@@ -442,7 +448,7 @@
         let due: Vec<(WorkerId, String, String)> = self
             .workers
             .values()
-            .filter(|w| w.connect_breaker.wary() && !w.connect_breaker.open(now) && !w.is_gone && w.open_calls == 0)
+            .filter(|w| w.connect_breaker.is_tripped() && !w.connect_breaker.is_open(now) && !w.is_gone && w.open_calls == 0)
             .filter(|w| now.since(w.last_probe) >= Span::millis(500) && self.may_send_to_worker(w, now))
             .filter_map(|w| {
                 let s = self.link.rules.services.get(&w.info.service)?;
@@ -467,12 +473,12 @@
         match result {
             CallResult::Health { worker: Some(w), .. } if w != id => state.is_gone = true,
             CallResult::Health { well: true, .. } => {
-                if state.connect_breaker.pass() {
+                if state.connect_breaker.record_success() {
                     self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                     self.send_capacity(now);
                 }
             }
-            _ => _ = state.connect_breaker.fail(now),
+            _ => _ = state.connect_breaker.record_failure(now),
         }
     }
 }
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -10,7 +10,7 @@
 impl Delivery {
     /// Takes over the newest worker list.
     pub(super) fn update_workers(&mut self, now: Time) {
-        if self.link.vector().get(Topic::Workers) == Version::ZERO {
+        if self.link.version_vector().get(Topic::Workers) == Version::ZERO {
             return;
         }
         let list = self.link.workers.clone();
@@ -23,14 +23,14 @@
                 Some(state) if state.info.addr == w.addr => {
                     // Another delivery daemon saw the worker restart.
                     let since = Time(now.0.saturating_sub(w.age.0));
-                    if since > state.warm_up.since + Span::secs(1) {
-                        state.warm_up.since = since;
+                    if since > state.warm_up.started_at + Span::secs(1) {
+                        state.warm_up.started_at = since;
                     }
                     if cold > state.cold_until + Span::millis(500) {
                         state.cold_until = cold;
                     }
                     state.info = w;
-                    state.warm_up.warm = warm;
+                    state.warm_up.duration = warm;
                 }
                 _ => {
                     let w = Worker { age: if self.first_list_at.is_some() { Span::ZERO } else { w.age }, ..w };
@@ -51,17 +51,17 @@
             return;
         }
         let warming: BTreeSet<String> =
-            self.workers.values().filter(|w| w.warm_up.warming(now)).map(|w| w.info.service.clone()).collect();
+            self.workers.values().filter(|w| w.warm_up.is_warming(now)).map(|w| w.info.service.clone()).collect();
         let ranges_before: BTreeMap<String, Vec<SlotRange>> =
             warming.into_iter().map(|s| (s.clone(), self.slot_ranges_of(&s))).collect();
         self.slot_ranges = granted;
         for (service, old_ranges) in ranges_before {
             let (full, new_ranges) = (self.service_slots(&service), self.slot_ranges_of(&service));
-            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.warm_up.warming(now)) {
+            for w in self.workers.values_mut().filter(|w| w.info.service == service && w.warm_up.is_warming(now)) {
                 let slots = w.warm_up.slots(full, now);
                 let mine = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.slot_rounding)).sum::<u32>();
                 if mine(&new_ranges) > mine(&old_ranges) {
-                    w.warm_up.last = now;
+                    w.warm_up.last_start = now;
                 }
             }
         }
@@ -102,27 +102,27 @@
         let list_is_new = self.first_list_at.is_none_or(|t| now.since(t) < RESTART_REPORT_DELAY);
         let same_zone_first = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
         let candidates: Vec<&WorkerState> = self.workers.values().filter(|w| w.info.service == service).collect();
-        let failing = candidates.iter().filter(|w| w.failure_breaker.open(now)).count();
+        let failing = candidates.iter().filter(|w| w.failure_breaker.is_open(now)).count();
         // If more than half of the workers fail, the cause is probably not the workers,
         // so none is excluded for failing.
         let ignore_failures = failing * 2 > candidates.len();
         let mut fit: Vec<&WorkerState> = candidates
             .into_iter()
-            .filter(|w| w.is_usable(&self.link, now) && (ignore_failures || !w.failure_breaker.open(now)))
+            .filter(|w| w.is_usable(&self.link, now) && (ignore_failures || !w.failure_breaker.is_open(now)))
             .filter(|w| {
                 let slots = w.warm_up.slots(full, now);
                 let mine: u32 = ranges.iter().map(|s| s.of(slots, w.slot_rounding)).sum();
                 if list_is_new || w.may_have_restarted(now) {
-                    let just_started = Ramp { since: now, ..w.warm_up };
-                    return w.open_calls < mine.min(1) && just_started.spaced(slots, mine, now);
+                    let just_started = WarmUp { started_at: now, ..w.warm_up };
+                    return w.open_calls < mine.min(1) && just_started.may_start(slots, mine, now);
                 }
-                w.open_calls < mine && w.warm_up.spaced(slots, mine, now)
+                w.open_calls < mine && w.warm_up.may_start(slots, mine, now)
             })
             .collect();
         // A worker that is warming up is not preferred for its zone: it would get all of
         // a backlog, and the warm workers in other zones next to nothing.
         let here = &self.startup.me.zone;
-        if same_zone_first && fit.iter().any(|w| w.info.zone == *here && !w.warm_up.warming(now)) {
+        if same_zone_first && fit.iter().any(|w| w.info.zone == *here && !w.warm_up.is_warming(now)) {
             fit.retain(|w| w.info.zone == *here);
         }
         if fit.is_empty() {
@@ -130,7 +130,7 @@
         }
         let first = self.rng.usize(..fit.len());
         let other = (first + self.rng.usize(1..fit.len().max(2))) % fit.len();
-        let weight = |w: &&WorkerState| (w.open_calls * 2 + w.load, w.open_calls, w.warm_up.last);
+        let weight = |w: &&WorkerState| (w.open_calls * 2 + w.load, w.open_calls, w.warm_up.last_start);
         let best = [fit[first], fit[other]].into_iter().min_by_key(weight)?;
         Some(best.info.id.clone())
     }
@@ -188,34 +188,34 @@
                 state.last_answer = now;
                 state.load = load.unwrap_or(state.load);
                 state.draining = *draining;
-                if state.connect_breaker.pass() {
+                if state.connect_breaker.record_success() {
                     // It was unreachable and may have restarted, so it warms up again.
-                    state.warm_up.since = now;
+                    state.warm_up.started_at = now;
                     self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
                 let Some(state) = self.workers.get_mut(id) else { return };
                 if *code >= 500 && *code != 503 {
-                    if state.failure_breaker.fail(now) {
+                    if state.failure_breaker.record_failure(now) {
                         self.effects.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                     }
-                } else if !load_only && state.failure_breaker.pass() {
+                } else if !load_only && state.failure_breaker.record_success() {
                     // A worker that kept answering, even with errors, did not restart; one
                     // whose connection broke may have.
                     if std::mem::take(&mut state.connection_lost) {
-                        state.warm_up.since = now;
+                        state.warm_up.started_at = now;
                     }
                     self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                 }
             }
             CallResult::RunFinished { .. } | CallResult::WorkerList(_) | CallResult::Health { .. } => {}
             CallResult::Failed(SendState::NotSent) => {
-                if state.connect_breaker.fail(now) {
+                if state.connect_breaker.record_failure(now) {
                     self.effects.push(Effect::Log(LogEvent::WorkerEjected, format!("{id} can't be reached")));
                 }
             }
             CallResult::Failed(SendState::MaybeSent) => {
                 state.connection_lost = true;
-                if state.failure_breaker.fail(now) {
+                if state.failure_breaker.record_failure(now) {
                     self.effects.push(Effect::Log(LogEvent::WorkerEjected, id.to_string()));
                 }
             }
--- a/crates/delivery/tests/harness/mod.rs
+++ b/crates/delivery/tests/harness/mod.rs
@@ -84,7 +84,7 @@
             me: member("delivery-1"),
             seeds: vec![daemon("placement-1")],
             pull_interval: Span::millis(300),
-            lease_terms: Terms::default(),
+            lease_terms: LeaseTerms::default(),
             max_attempts: 64,
             cold_calls_per_second: 5.0,
             random_seed: 1,
--- a/crates/ingest/src/proxy/relay.rs
+++ b/crates/ingest/src/proxy/relay.rs
@@ -7,7 +7,7 @@
 /// is on the proxy's side of the split, one in the leader's zone on the other side.
 /// Among equals, a store that has answered lately comes first.
 pub(super) fn choose_relay(
-    link: &Link,
+    link: &ControlPlaneLink,
     outages: &Outages,
     leader: Option<&Daemon>,
     tried: &BTreeSet<Daemon>,
--- a/crates/ingest/src/proxy/routed.rs
+++ b/crates/ingest/src/proxy/routed.rs
@@ -24,7 +24,7 @@
     /// Whether callers may be directed here: the proxy knows the configuration in force and
     /// a leader of a spool partition that answers.
     pub(super) fn is_ready(&self, now: Time) -> bool {
-        self.leaving_since.is_none() && self.link.fresh(now) && self.choose_partition(now).is_some()
+        self.leaving_since.is_none() && self.link.config_is_current(now) && self.choose_partition(now).is_some()
     }
 
     /// The wall-clock time of `now`, in microseconds since 1970.
@@ -39,7 +39,7 @@
         let own_zone = &self.startup.me.zone;
         let candidates: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let leader = &self.link.places.get(&Rules::spool_place(n))?.leader;
+                let leader = &self.link.partition_locations.get(&Rules::spool_place(n))?.leader;
                 let zone = self.link.zone_of(leader)?;
                 (!self.outages.should_avoid(leader, now)).then_some((zone == own_zone, n))
             })
@@ -60,7 +60,7 @@
         now: Time,
     ) {
         self.counts.submitted += 1;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             self.counts.rejected += 1;
             return self.respond(request, unavailable("this proxy can't confirm the charter in force"));
         }
@@ -144,7 +144,7 @@
     /// Whether a message that only this partition may hold is rejected at once, because the
     /// leader has been silent for long.
     fn leader_is_lost(&mut self, partition_number: u32, now: Time) -> bool {
-        let leader = self.link.places.get(&Rules::spool_place(partition_number)).map(|location| &location.leader);
+        let leader = self.link.partition_locations.get(&Rules::spool_place(partition_number)).map(|location| &location.leader);
         leader.is_some_and(|leader| self.outages.should_reject(leader, now))
     }
 
@@ -163,7 +163,7 @@
         if submission.maybe_written || now.since(submission.received_at) >= timeouts.response_timeout {
             return self.give_up(n);
         }
-        let leader = self.link.places.get(&submission.partition).map(|location| &location.leader);
+        let leader = self.link.partition_locations.get(&submission.partition).map(|location| &location.leader);
         if !submission.header.key.is_empty() {
             return self.outages.record_not_leader(None, &submission.partition, now);
         }
--- a/crates/ingest/tests/settings/mod.rs
+++ b/crates/ingest/tests/settings/mod.rs
@@ -22,7 +22,7 @@
         me: member("proxy-1", "z1"),
         agent: Daemon("agent-1".into()),
         pull_interval: Span::millis(400),
-        lease_terms: Terms::default(),
+        lease_terms: LeaseTerms::default(),
         max_submissions: 64,
         resend_after: RESEND_AFTER,
         response_timeout: Span::secs(2),
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -109,7 +109,7 @@
         let due: Vec<PartitionId> =
             self.parts.iter().filter(|(_, p)| p.own.as_ref().is_some_and(silent)).map(|(place, _)| place.clone()).collect();
         for place in due {
-            if self.link.may(&Duty::Lead(place.clone()), now).is_some() {
+            if self.link.active_epoch(&Duty::Lead(place.clone()), now).is_some() {
                 self.tend(&place, now);
             }
         }
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -51,7 +51,7 @@
     /// partitions are given up. Earlier than that it would take a claim that
     /// is still live for one given up.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
-        let leads = self.link.held.live(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
+        let leads = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
         self.gives_up_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
     }
 }
