--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -23,7 +23,7 @@
     open_calls: u32,
     /// How many requests it runs at once, by its last answer; 0 if unknown.
     slots: u32,
-    /// It answered that it is full, so nothing is sent there until then.
+    /// It answered that it is full, so nothing is sent there until this time.
     full_until: Time,
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Treats the workers of a zone that is taken back into use as cold: they may have
-    /// become so meanwhile.
+    /// gone cold meanwhile.
     pub(super) fn update_emptied_zones(&mut self, now: Time) {
         let reopened: Vec<Zone> = self.routed.emptied_zones.difference(&self.link.emptied_zones).cloned().collect();
         self.routed.emptied_zones.clone_from(&self.link.emptied_zones);
