--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -18,9 +18,10 @@
             Duty::Deliver(partition) => {
                 let Some(rule) = self.link.rules.rule_of(partition) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
-                let full = self.service_slots(service);
-                let fit = || self.workers.values().filter(|w| w.info.service == *service && w.is_usable(&self.link, now));
-                if fit().next().is_none() {
+                let max_slots = self.service_slots(service);
+                let usable_workers =
+                    || self.workers.values().filter(|w| w.info.service == *service && w.is_usable(&self.link, now));
+                if usable_workers().next().is_none() {
                     return 0;
                 }
                 let range = self
@@ -29,9 +30,9 @@
                     .copied()
                     .or_else(|| self.slot_ranges_of(service).first().copied())
                     .unwrap_or_default();
-                let mine: u32 = fit().map(|w| range.of(w.warm_up.slots(full, now), w.slot_rounding)).sum();
+                let own_slots: u32 = usable_workers().map(|w| range.of(w.warm_up.slots(max_slots, now), w.slot_rounding)).sum();
                 // Twice what can run, so that a free slot never waits for a network round trip.
-                (mine * 2).clamp(1, 64)
+                (own_slots * 2).clamp(1, 64)
             }
             Duty::Endpoint(name) => {
                 let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -272,11 +272,11 @@
     fn choose_routed_target(&mut self, service: &str, now: Time) -> Option<(String, SendTarget)> {
         let s = self.link.rules.services.get(service)?.clone();
         if !s.address.is_empty() {
-            let may = self.may_send_to_address(&s.address, Some(&s), now);
-            return may.then(|| (s.address.clone(), SendTarget::Address(s.address.clone())));
+            let may_send = self.may_send_to_address(&s.address, Some(&s), now);
+            return may_send.then(|| (s.address.clone(), SendTarget::Address(s.address.clone())));
         }
-        let mine = self.workers.values().filter(|w| w.info.service == service && self.may_send_to_worker(w, now));
-        let free = |w: &&WorkerState| {
+        let own_workers = self.workers.values().filter(|w| w.info.service == service && self.may_send_to_worker(w, now));
+        let has_free_slot = |w: &&WorkerState| {
             let wait_for_cold = now < w.cold_until && now < w.next_cold_send;
             !wait_for_cold
                 && self.can_take_routed(w, now)
@@ -285,7 +285,7 @@
                 && !(w.failure_breaker.is_tripped() && w.open_calls > 0)
         };
         let rotation = self.next_call;
-        let best = mine.filter(free).min_by_key(|w| {
+        let best = own_workers.filter(has_free_slot).min_by_key(|w| {
             let permille_busy = u64::from(w.open_calls) * 1000 / u64::from(self.worker_slots(w).max(1));
             (now < w.cold_until, permille_busy, w.slot_rounding.wrapping_mul(rotation | 1) >> 32)
         })?;
@@ -368,7 +368,8 @@
         self.effects.push(Effect::Log(LogEvent::AttemptOutcomeUnknown, text));
     }
 
-    /// Queues an attempt that did not run again, so that another worker may get it at once.
+    /// Puts an attempt that did not run back at the front of its queue, so that another
+    /// worker may get it at once. Without time for that, it ends as not started.
     fn requeue_routed(&mut self, id: AttemptId, now: Time) {
         let Some(held) = self.attempts.get(&id) else { return };
         let for_service = matches!(held.offer.destination, Some(Destination::Service(_)));
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -56,11 +56,11 @@
             warming.into_iter().map(|s| (s.clone(), self.slot_ranges_of(&s))).collect();
         self.slot_ranges = granted;
         for (service, old_ranges) in ranges_before {
-            let (full, new_ranges) = (self.service_slots(&service), self.slot_ranges_of(&service));
+            let (max_slots, new_ranges) = (self.service_slots(&service), self.slot_ranges_of(&service));
             for w in self.workers.values_mut().filter(|w| w.info.service == service && w.warm_up.is_warming(now)) {
-                let slots = w.warm_up.slots(full, now);
-                let mine = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.slot_rounding)).sum::<u32>();
-                if mine(&new_ranges) > mine(&old_ranges) {
+                let slots = w.warm_up.slots(max_slots, now);
+                let slots_in = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.slot_rounding)).sum::<u32>();
+                if slots_in(&new_ranges) > slots_in(&old_ranges) {
                     w.warm_up.last_start = now;
                 }
             }
@@ -80,10 +80,10 @@
     /// The slot ranges of a service that this daemon's duties have. If the placement
     /// daemon granted no ranges, the delivery daemons share the slots evenly.
     pub(super) fn slot_ranges_of(&self, service: &str) -> Vec<SlotRange> {
-        let takes =
+        let uses_service =
             |p: &PartitionId| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
-        let mine = self.slot_ranges.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if takes(p)));
-        let all: Vec<SlotRange> = mine.map(|x| *x.1).collect();
+        let own_ranges = self.slot_ranges.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if uses_service(p)));
+        let all: Vec<SlotRange> = own_ranges.map(|x| *x.1).collect();
         if !all.is_empty() || !self.slot_ranges.is_empty() {
             return all;
         }
@@ -98,7 +98,7 @@
     /// call is longer ago: chance alone would now and then send all calls of one second
     /// to the same worker, which is too much for one that is warming up.
     pub(super) fn choose_worker(&mut self, service: &str, ranges: &[SlotRange], now: Time) -> Option<WorkerId> {
-        let full = self.service_slots(service);
+        let max_slots = self.service_slots(service);
         let list_is_new = self.first_list_at.is_none_or(|t| now.since(t) < RESTART_REPORT_DELAY);
         let same_zone_first = self.link.rules.services.get(service).is_some_and(|s| s.same_zone_first);
         let candidates: Vec<&WorkerState> = self.workers.values().filter(|w| w.info.service == service).collect();
@@ -106,32 +106,32 @@
         // If more than half of the workers fail, the cause is probably not the workers,
         // so none is excluded for failing.
         let ignore_failures = failing * 2 > candidates.len();
-        let mut fit: Vec<&WorkerState> = candidates
+        let mut available: Vec<&WorkerState> = candidates
             .into_iter()
             .filter(|w| w.is_usable(&self.link, now) && (ignore_failures || !w.failure_breaker.is_open(now)))
             .filter(|w| {
-                let slots = w.warm_up.slots(full, now);
-                let mine: u32 = ranges.iter().map(|s| s.of(slots, w.slot_rounding)).sum();
+                let slots = w.warm_up.slots(max_slots, now);
+                let own_slots: u32 = ranges.iter().map(|s| s.of(slots, w.slot_rounding)).sum();
                 if list_is_new || w.may_have_restarted(now) {
                     let just_started = WarmUp { started_at: now, ..w.warm_up };
-                    return w.open_calls < mine.min(1) && just_started.may_start(slots, mine, now);
+                    return w.open_calls < own_slots.min(1) && just_started.may_start(slots, own_slots, now);
                 }
-                w.open_calls < mine && w.warm_up.may_start(slots, mine, now)
+                w.open_calls < own_slots && w.warm_up.may_start(slots, own_slots, now)
             })
             .collect();
         // A worker that is warming up is not preferred for its zone: it would get all of
         // a backlog, and the warm workers in other zones next to nothing.
         let here = &self.startup.me.zone;
-        if same_zone_first && fit.iter().any(|w| w.info.zone == *here && !w.warm_up.is_warming(now)) {
-            fit.retain(|w| w.info.zone == *here);
+        if same_zone_first && available.iter().any(|w| w.info.zone == *here && !w.warm_up.is_warming(now)) {
+            available.retain(|w| w.info.zone == *here);
         }
-        if fit.is_empty() {
+        if available.is_empty() {
             return None;
         }
-        let first = self.rng.usize(..fit.len());
-        let other = (first + self.rng.usize(1..fit.len().max(2))) % fit.len();
+        let first = self.rng.usize(..available.len());
+        let other = (first + self.rng.usize(1..available.len().max(2))) % available.len();
         let weight = |w: &&WorkerState| (w.open_calls * 2 + w.load, w.open_calls, w.warm_up.last_start);
-        let best = [fit[first], fit[other]].into_iter().min_by_key(weight)?;
+        let best = [available[first], available[other]].into_iter().min_by_key(weight)?;
         Some(best.info.id.clone())
     }
 
--- a/crates/delivery/tests/answers_and_news.rs
+++ b/crates/delivery/tests/answers_and_news.rs
@@ -22,7 +22,7 @@
     Timeout,
 }
 
-const ALL: [Change; 6] = [Change::Leader, Change::Worker, Change::Route, Change::Duty, Change::Shutdown, Change::Timeout];
+const ALL_CHANGES: [Change; 6] = [Change::Leader, Change::Worker, Change::Route, Change::Duty, Change::Shutdown, Change::Timeout];
 
 /// Every order of the given changes.
 fn orders(changes: &[Change]) -> Vec<Vec<Change>> {
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_success_is_reported_whatever_changes_before_and_after_the_answer() {
-    for order in orders(&ALL) {
+    for order in orders(&ALL_CHANGES) {
         for answered_after in 0..=order.len() {
             let (mut harness, mut state) = with_running_attempt();
             for (index, one) in order.iter().enumerate() {
