--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -3,189 +3,197 @@
 
 impl Store {
     /// Sends each backup what it lacks of the latest ops.
-    pub(super) fn spread(&mut self, place: &PartitionId, now: Time) {
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        for backup in own.backups.keys().cloned().collect::<Vec<_>>() {
-            self.spread_to(place, &backup, now);
+    pub(super) fn replicate(&mut self, partition: &PartitionId, now: Time) {
+        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        for backup in lead.backups.keys().cloned().collect::<Vec<_>>() {
+            self.replicate_to(partition, &backup, now);
         }
     }
 
-    fn spread_to(&mut self, place: &PartitionId, backup: &Daemon, now: Time) {
-        let Some(p) = self.parts.get_mut(place) else { return };
-        let Some(own) = p.own.as_mut() else { return };
-        let top = p.n;
-        let epoch = own.epoch;
-        let Some(have) = own.peers.get(backup).and_then(|s| s.have) else { return };
-        let sent = own.peers.get(backup).map_or(have, |s| s.sent).max(have);
+    fn replicate_to(&mut self, partition: &PartitionId, backup: &Daemon, now: Time) {
+        let Some(part) = self.parts.get_mut(partition) else { return };
+        let Some(lead) = part.own.as_mut() else { return };
+        let top = part.n;
+        let epoch = lead.epoch;
+        let Some(have) = lead.peers.get(backup).and_then(|s| s.have) else { return };
+        let sent = lead.peers.get(backup).map_or(have, |s| s.sent).max(have);
         if sent >= top || sent - have > 4 * 1024 {
             return;
         }
-        let Some(ops) = own.ops_from(sent + 1, top) else {
+        let Some(ops) = lead.ops_from(sent + 1, top) else {
             // Too far behind for the ops kept: it copies the whole.
-            if let Some(s) = own.peers.get_mut(backup) {
+            if let Some(s) = lead.peers.get_mut(backup) {
                 (s.have, s.short) = (None, true);
             }
             return;
         };
-        if let Some(s) = own.peers.get_mut(backup) {
+        if let Some(s) = lead.peers.get_mut(backup) {
             s.note_sent(sent + ops.len() as u64, now);
             if s.sent < top {
-                self.dirty.insert(place.clone());
+                self.to_replicate.insert(partition.clone());
             }
         }
-        self.say(backup, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
+        self.send(backup, PeerMessage::Append { partition: partition.clone(), epoch, first: sent + 1, ops });
     }
 
     pub(super) fn on_append(
         &mut self,
         from: Daemon,
-        place: PartitionId,
+        partition: PartitionId,
         epoch: Epoch,
         first: u64,
         ops: Vec<PartitionOp>,
         now: Time,
     ) {
         // Unacknowledged, the second copy goes to another peer.
-        if self.refuses_writes() {
+        if self.is_disk_stuck() {
             return;
         }
-        let p = self.parts.entry(place.clone()).or_default();
-        if epoch < p.promised {
-            let promised = p.promised;
+        let part = self.parts.entry(partition.clone()).or_default();
+        if epoch < part.promised {
+            let promised = part.promised;
             self.counts.fenced += 1;
-            return self.say(&from, PeerMessage::FenceRefused { partition: place, promised_epoch: promised });
+            return self.send(&from, PeerMessage::FenceRefused { partition, promised_epoch: promised });
         }
-        if p.installed != epoch || first > p.n + 1 {
-            let (installed, n) = (p.installed, p.n);
-            return self.say(&from, PeerMessage::AppendGap { partition: place, epoch, installed_epoch: installed, last_op: n });
+        if part.installed != epoch || first > part.n + 1 {
+            let (installed, n) = (part.installed, part.n);
+            return self.send(&from, PeerMessage::AppendGap { partition, epoch, installed_epoch: installed, last_op: n });
         }
         let home = self.ledger.next();
         for (at, op) in ops.into_iter().enumerate() {
             let n = first + at as u64;
-            if n <= p.n {
+            if n <= part.n {
                 continue;
             }
-            if let PartitionOp::Put(head, _, body) = &op {
-                if !head.matches(body) {
+            if let PartitionOp::Put(header, _, body) = &op {
+                if !header.matches(body) {
                     break;
                 }
             }
-            self.held_bytes += p.apply(&place, &op, home, now, &mut self.ledger);
-            self.cache.note(&place, &op);
-            p.n = n;
-            self.ledger.push(Line::Op { place: place.clone(), n, op });
+            self.held_bytes += part.apply(&partition, &op, home, now, &mut self.ledger);
+            self.body_cache.insert_op(&partition, &op);
+            part.n = n;
+            self.ledger.push(Line::Op { place: partition.clone(), n, op });
         }
-        let upto = p.n;
-        self.later(Then::Ack { to: from, place, epoch, upto });
+        let up_to = part.n;
+        self.after_sync(Then::Ack { to: from, place: partition, epoch, upto: up_to });
     }
 
     pub(super) fn on_appended(
         &mut self,
         from: Daemon,
-        place: PartitionId,
+        partition: PartitionId,
         epoch: Epoch,
-        upto: u64,
-        mark: IncarnationId,
+        up_to: u64,
+        disk_id: IncarnationId,
         now: Time,
     ) {
-        let Some(p) = self.parts.get_mut(&place) else { return };
-        let top = p.n;
-        let Some(own) = p.own.as_mut() else { return };
-        if own.epoch != epoch || upto > top {
+        let Some(part) = self.parts.get_mut(&partition) else { return };
+        let top = part.n;
+        let Some(lead) = part.own.as_mut() else { return };
+        if lead.epoch != epoch || up_to > top {
             return;
         }
-        let counts = own.counts(&from, mark);
+        let counts = lead.counts(&from, disk_id);
         // The last op it lacks must be kept, if it lacks any.
-        let kept = upto == top || own.op(upto + 1, top).is_some();
-        let peer = own.peers.entry(from.clone()).or_default();
+        let kept = up_to == top || lead.op(up_to + 1, top).is_some();
+        let peer = lead.peers.entry(from.clone()).or_default();
         peer.short = !kept;
-        peer.note_acknowledged(upto, now);
-        peer.mark = mark;
+        peer.note_acknowledged(up_to, now);
+        peer.mark = disk_id;
         let first = peer.have.is_none();
-        peer.have = Some(peer.have.unwrap_or(0).max(upto));
-        peer.sent = peer.sent.max(upto);
+        peer.have = Some(peer.have.unwrap_or(0).max(up_to));
+        peer.sent = peer.sent.max(up_to);
         if first {
-            peer.sent = upto;
+            peer.sent = up_to;
         }
         if !counts {
-            if !own.covers(&from, upto) {
+            if !lead.covers(&from, up_to) {
                 // Made for an earlier replacement: it is copied once more.
-                let Some(peer) = own.peers.get_mut(&from) else { return };
+                let Some(peer) = lead.peers.get_mut(&from) else { return };
                 (peer.have, peer.short, peer.asked) = (None, true, Time(0));
                 return;
             }
             // A copy made whole under a new mark: placement may count it now.
-            if own.whole.insert(from, mark) != Some(mark) {
+            if lead.whole.insert(from, disk_id) != Some(disk_id) {
                 self.link.hurry(now);
             }
             return;
         }
-        own.whole.remove(&from);
-        own.end_copying(&from);
-        self.dirty.insert(place.clone());
-        self.commit(&place, now);
+        lead.whole.remove(&from);
+        lead.end_copying(&from);
+        self.to_replicate.insert(partition.clone());
+        self.advance_commit(&partition, now);
     }
 
-    pub(super) fn on_gap(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
-        let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) else { return };
-        if own.epoch != epoch {
+    pub(super) fn on_append_gap(
+        &mut self,
+        from: Daemon,
+        partition: PartitionId,
+        epoch: Epoch,
+        installed_epoch: Epoch,
+        last_op: u64,
+        now: Time,
+    ) {
+        let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) else { return };
+        if lead.epoch != epoch {
             return;
         }
-        let was = own.was;
-        let mark = own.set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
-        let Some(peer) = own.peers.get_mut(&from) else { return };
+        let expected = lead.was;
+        let disk_id = lead.set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
+        let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.heard = now;
-        if installed == epoch {
-            peer.sent = n;
-            peer.have = peer.have.map(|h| h.min(n));
-            self.dirty.insert(place);
+        if installed_epoch == epoch {
+            peer.sent = last_op;
+            peer.have = peer.have.map(|h| h.min(last_op));
+            self.to_replicate.insert(partition);
             return;
         }
         peer.have = None;
         peer.asked = now;
-        self.say(&from, PeerMessage::Lagging { partition: place, epoch, expected: was, disk_id: mark, must_fetch: false });
+        self.send(&from, PeerMessage::Lagging { partition, epoch, expected, disk_id, must_fetch: false });
     }
 
-    pub(super) fn own_durable(&mut self, place: &PartitionId, epoch: Epoch, upto: u64, now: Time) {
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        if own.epoch != epoch {
+    pub(super) fn on_own_ops_synced(&mut self, partition: &PartitionId, epoch: Epoch, up_to: u64, now: Time) {
+        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        if lead.epoch != epoch {
             return;
         }
-        own.adopted = true;
-        own.durable = own.durable.max(upto);
-        self.commit(place, now);
+        lead.adopted = true;
+        lead.durable = lead.durable.max(up_to);
+        self.advance_commit(partition, now);
     }
 
     /// What is synced here and on enough counting peers, one of them in
     /// another zone, stands.
-    pub(super) fn commit(&mut self, place: &PartitionId, now: Time) {
+    pub(super) fn advance_commit(&mut self, partition: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        if !own.adopted {
+        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        if !lead.adopted {
             return;
         }
-        let leaves = |d: &Daemon| own.swap.as_ref().is_some_and(|s| s.0 == *d);
-        let far = |d: &Daemon| members.get(d).is_some_and(|m| m.zone != zone);
-        let mut copies: Vec<(u64, bool)> = own
+        let is_leaving = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
+        let is_in_other_zone = |d: &Daemon| members.get(d).is_some_and(|m| m.zone != zone);
+        let mut copies: Vec<(u64, bool)> = lead
             .peers
             .iter()
-            .filter(|(d, s)| own.counts(d, s.mark) && !leaves(d))
-            .filter_map(|(d, s)| Some((s.have?, far(d))))
+            .filter(|(d, s)| lead.counts(d, s.mark) && !is_leaving(d))
+            .filter_map(|(d, s)| Some((s.have?, is_in_other_zone(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
-        let Some(enough) = copies.get(own.backups_needed() - 1).map(|c| c.0) else { return };
-        let Some(elsewhere) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
-        let best = enough.min(elsewhere);
-        if own.phase == Phase::Spreading {
-            self.turn(place, Phase::Serving, now);
-        }
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        own.committed = own.committed.max(best.min(own.durable));
-        let rest = own.waits.split_off(&(own.committed + 1));
-        let done = std::mem::replace(&mut own.waits, rest);
-        for wait in done.into_values().flatten() {
-            self.committed(place, wait, now);
+        let Some(enough) = copies.get(lead.backups_needed() - 1).map(|c| c.0) else { return };
+        let Some(in_other_zone) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
+        let committable = enough.min(in_other_zone);
+        if lead.phase == Phase::Spreading {
+            self.set_phase(partition, Phase::Serving, now);
+        }
+        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        lead.committed = lead.committed.max(committable.min(lead.durable));
+        let still_waiting = lead.waits.split_off(&(lead.committed + 1));
+        let committed = std::mem::replace(&mut lead.waits, still_waiting);
+        for wait in committed.into_values().flatten() {
+            self.on_committed(partition, wait, now);
         }
     }
 }
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -5,65 +5,67 @@
 impl Store {
     /// Attempts whose end passed without a word: their messages go on. After a
     /// standstill the words that lie unread are heard first.
-    pub(super) fn lapse_overdue(&mut self, place: &PartitionId, now: Time) {
+    pub(super) fn expire_overdue_attempts(&mut self, partition: &PartitionId, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
         }
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
+        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let mut over = Vec::new();
-        for (seq, flight) in own.lane.overdue(now) {
-            own.overdue.lapsed(flight.attempt, flight.end);
-            *self.mute.entry(flight.duty.clone()).or_default() += 1;
-            over.extend(own.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
+        for (seq, flight) in lead.lane.overdue(now) {
+            lead.overdue.lapsed(flight.attempt, flight.end);
+            *self.unreported_in_a_row.entry(flight.duty.clone()).or_default() += 1;
+            over.extend(lead.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
         }
         for (id, flight) in over {
             self.counts.lapsed += 1;
-            self.note(LogEvent::AttemptEndUnreported, format!("{place} {id} attempt {} at {}", flight.attempt, flight.to));
-            self.lapsed(place, &id, now);
+            self.log(LogEvent::AttemptEndUnreported, format!("{partition} {id} attempt {} at {}", flight.attempt, flight.to));
+            self.on_attempt_expired(partition, &id, now);
         }
     }
 
     /// Whether a record that was taken out of a line may be handed out: for
     /// work while its work is not over, for a call-back while one is owed. Any
     /// other must stand in no line.
-    pub(super) fn may_hand_out(&mut self, place: &PartitionId, id: &MessageId, call_back: bool) -> bool {
-        let stage = self.parts.get(place).and_then(|p| p.recs.get(id)).map(|r| r.stage);
+    pub(super) fn may_dispatch(&mut self, partition: &PartitionId, id: &MessageId, is_callback: bool) -> bool {
+        let stage = self.parts.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.stage);
         let fits = match stage {
-            Some(Stage::Pending) => !call_back,
-            Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => call_back,
+            Some(Stage::Pending) => !is_callback,
+            Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => is_callback,
             Some(Stage::Ended(_)) | None => false,
         };
         if fits {
             return true;
         }
         self.counts.ended_handed_out += 1;
-        self.note(LogEvent::EndedMessageDequeued, format!("{place} {id}"));
+        self.log(LogEvent::EndedMessageDequeued, format!("{partition} {id}"));
         false
     }
 
     /// An open message that nothing would ever run again: it waits from now on,
     /// or until the rest at the opening is over.
-    pub(super) fn let_in_again(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
-        let Some(p) = self.parts.get_mut(place) else { return };
-        let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get(id)) else { return };
-        own.lane.ids.insert(r.head.seq, id.clone());
-        own.lane.post(&r.head.route, &r.head.key, own.quiet.max(now), r.head.seq);
+    pub(super) fn requeue_stranded(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
+        let Some(part) = self.parts.get_mut(partition) else { return };
+        let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(id)) else { return };
+        lead.lane.ids.insert(record.head.seq, id.clone());
+        lead.lane.post(&record.head.route, &record.head.key, lead.quiet.max(now), record.head.seq);
         self.counts.stranded += 1;
-        self.note(LogEvent::StrandedMessageRequeued, format!("{place} {id}"));
+        self.log(LogEvent::StrandedMessageRequeued, format!("{partition} {id}"));
     }
 
     /// Judges a success of an attempt that is not under way here.
-    pub(super) fn judge_success(&mut self, from: &Daemon, told: &AttemptResult, now: Time) {
-        let Some(p) = self.parts.get_mut(&told.partition) else { return };
-        let Some(own) = p.own.as_mut() else { return };
+    pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
+        let Some(part) = self.parts.get_mut(&result.partition) else { return };
+        let Some(lead) = part.own.as_mut() else { return };
         let unread = self.standstill.unread(now);
-        let Some(late) = own.overdue.judge(told, own.epoch, own.quiet, unread, now) else { return };
-        let seq = p.recs.get(&told.id).map(|r| r.head.seq);
-        let again = seq.and_then(|seq| own.lane.flights.get(&seq)).map(|f| f.attempt);
-        let again = again.map_or(String::from("none under way now"), |n| format!("attempt {n} under way now"));
-        let text =
-            format!("{} {} attempt {} of epoch {} at {from}: {late}, {again}", told.partition, told.id, told.attempt, told.epoch);
-        let note = match late.is_violation() {
+        let Some(late) = lead.overdue.judge(result, lead.epoch, lead.quiet, unread, now) else { return };
+        let seq = part.recs.get(&result.id).map(|record| record.head.seq);
+        let current = seq.and_then(|seq| lead.lane.flights.get(&seq)).map(|f| f.attempt);
+        let current = current.map_or(String::from("none under way now"), |n| format!("attempt {n} under way now"));
+        let text = format!(
+            "{} {} attempt {} of epoch {} at {from}: {late}, {current}",
+            result.partition, result.id, result.attempt, result.epoch
+        );
+        let event = match late.is_violation() {
             true => {
                 self.counts.outlived += 1;
                 LogEvent::AttemptOverran
@@ -73,6 +75,6 @@
                 LogEvent::LateSuccess
             }
         };
-        self.note(note, text);
+        self.log(event, text);
     }
 }
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -1,14 +1,14 @@
 //! A replica as the source of a whole copy.
-use super::{Body, Parked};
+use super::{Body, BodyWaiter};
 use crate::partial_copy::record_size;
 use crate::prelude::*;
 use std::ops::Bound;
 
 /// Bytes of bodies sent at once.
-const BODIES_AT_ONCE: usize = 256 << 10;
+const MAX_BODY_BYTES_PER_PART: usize = 256 << 10;
 /// Records sent at once, and bytes of theirs.
-const RECORDS_AT_ONCE: usize = 1000;
-const RECORD_BYTES_AT_ONCE: usize = 256 << 10;
+const MAX_RECORDS_PER_PART: usize = 1000;
+const MAX_RECORD_BYTES_PER_PART: usize = 256 << 10;
 
 /// Bytes that were asked for.
 #[derive(Default)]
@@ -21,52 +21,59 @@
 impl Store {
     /// Only a replica fenced at this very epoch, or its leader once that is
     /// whole, hands out.
-    fn hands_out(&self, place: &PartitionId, epoch: Epoch) -> bool {
-        let Some(part) = self.parts.get(place) else { return false };
+    fn may_send_copies(&self, partition: &PartitionId, epoch: Epoch) -> bool {
+        let Some(part) = self.parts.get(partition) else { return false };
         part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
     }
 
     /// A store that knows no parts is sent the list of all records.
-    pub(super) fn on_fetch(&mut self, from: Daemon, place: PartitionId, epoch: Epoch) {
-        if !self.hands_out(&place, epoch) {
+    pub(super) fn on_fetch_copy(&mut self, from: Daemon, partition: PartitionId, epoch: Epoch) {
+        if !self.may_send_copies(&partition, epoch) {
             return;
         }
-        let digest = self.parts[&place].digest();
-        self.say(&from, PeerMessage::WholeCopy { partition: place, epoch, snapshot: digest });
+        let snapshot = self.parts[&partition].digest();
+        self.send(&from, PeerMessage::WholeCopy { partition, epoch, snapshot });
     }
 
     /// Bytes by name: of a copy that goes by the list, or for a copy that is bad.
-    pub(super) fn on_want(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, ids: Vec<MessageId>, now: Time) {
-        if !self.hands_out(&place, epoch) {
+    pub(super) fn on_fetch_bodies(&mut self, from: Daemon, partition: PartitionId, epoch: Epoch, ids: Vec<MessageId>, now: Time) {
+        if !self.may_send_copies(&partition, epoch) {
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()).and_then(|own| own.peers.get_mut(&from));
+        let peer = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
             peer.heard = now;
         }
-        let bodies = self.bodies_of(&place, &ids, now);
-        let who = Parked::Want { from: from.clone(), epoch, ids };
-        if self.read_back(&place, &bodies.on_disk, who) {
+        let bodies = self.bodies_of(&partition, &ids, now);
+        let waiter = BodyWaiter::FetchBodies { from: from.clone(), epoch, ids };
+        if self.read_bodies_for(&partition, &bodies.on_disk, waiter) {
             return;
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
-        self.say(&from, PeerMessage::Bodies { partition: place, epoch, entries: bodies.here });
+        self.send(&from, PeerMessage::Bodies { partition, epoch, entries: bodies.here });
     }
 
     /// The next part of a copy, once the bytes that go with it are at hand.
-    pub(super) fn on_copy_request(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, request: CopyRequest, now: Time) {
-        if !self.hands_out(&place, epoch) {
+    pub(super) fn on_copy_request(
+        &mut self,
+        from: Daemon,
+        partition: PartitionId,
+        epoch: Epoch,
+        request: CopyRequest,
+        now: Time,
+    ) {
+        if !self.may_send_copies(&partition, epoch) {
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()).and_then(|own| own.peers.get_mut(&from));
+        let peer = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
             peer.heard = now;
         }
-        let bodies = self.bodies_of(&place, &request.wanted, now);
-        let who = Parked::CopyPart { from: from.clone(), epoch, request: request.clone() };
-        if self.read_back(&place, &bodies.on_disk, who) {
+        let bodies = self.bodies_of(&partition, &request.wanted, now);
+        let waiter = BodyWaiter::CopyPart { from: from.clone(), epoch, request: request.clone() };
+        if self.read_bodies_for(&partition, &bodies.on_disk, waiter) {
             return;
         }
         // Too much is being read back now: it asks again.
@@ -74,30 +81,33 @@
             return;
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
-        let part = Box::new(self.parts[&place].copy_part(request.position, bodies.here));
-        if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
-            own.note_copying(from.clone(), part.last_op, now);
+        let part = Box::new(self.parts[&partition].copy_part(request.position, bodies.here));
+        if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+            lead.note_copying(from.clone(), part.last_op, now);
         }
-        self.say(&from, PeerMessage::CopyPart { partition: place, epoch, part });
+        self.send(&from, PeerMessage::CopyPart { partition, epoch, part });
     }
 
     /// What there is of the bytes asked for, up to a bound. Of a record that is
     /// gone or has let go of its bytes there is nothing to send.
-    fn bodies_of(&mut self, place: &PartitionId, ids: &[MessageId], now: Time) -> Bodies {
+    fn bodies_of(&mut self, partition: &PartitionId, ids: &[MessageId], now: Time) -> Bodies {
         let mut bodies = Bodies::default();
         let mut size = 0;
         for id in ids {
-            let Some(len) = self.parts[place].recs.get(id).map(|r| r.head.len as usize).filter(|len| *len > 0) else { continue };
-            match self.body_of(place, id) {
-                Body::Here(body) => bodies.here.push((id.clone(), body)),
-                Body::Later => bodies.on_disk.push(id.clone()),
-                Body::Bad => {
-                    self.found_bad(place, id, now);
+            let Some(len) = self.parts[partition].recs.get(id).map(|record| record.head.len as usize).filter(|len| *len > 0)
+            else {
+                continue;
+            };
+            match self.body_of(partition, id) {
+                Body::InMemory(body) => bodies.here.push((id.clone(), body)),
+                Body::OnDisk => bodies.on_disk.push(id.clone()),
+                Body::Corrupt => {
+                    self.on_corrupt_body(partition, id, now);
                     continue;
                 }
             }
             size += len;
-            if size > BODIES_AT_ONCE {
+            if size > MAX_BODY_BYTES_PER_PART {
                 break;
             }
         }
@@ -106,10 +116,10 @@
 
     /// Begins to read bytes back; `who` is served once the last of them is
     /// here. False when there is nothing to wait for.
-    fn read_back(&mut self, place: &PartitionId, ids: &[MessageId], who: Parked) -> bool {
+    fn read_bodies_for(&mut self, partition: &PartitionId, ids: &[MessageId], waiter: BodyWaiter) -> bool {
         let Some((last, rest)) = ids.split_last() else { return false };
-        let begun = rest.iter().all(|id| self.park(place, id, Parked::Soon));
-        begun && self.park(place, last, who)
+        let begun = rest.iter().all(|id| self.read_body_for(partition, id, BodyWaiter::Prefetch));
+        begun && self.read_body_for(partition, last, waiter)
     }
 }
 
@@ -138,7 +148,7 @@
     fn ops_since(&self, n: u64) -> Option<Vec<PartitionOp>> {
         match &self.own {
             _ if n == self.n => Some(Vec::new()),
-            Some(own) if n < self.n => own.ops_from(n + 1, self.n),
+            Some(lead) if n < self.n => lead.ops_from(n + 1, self.n),
             _ => None,
         }
     }
@@ -149,7 +159,7 @@
         let mut rest = self.recs.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
         let mut records = Vec::new();
         let mut size = 0;
-        while let Some(record) = rest.next_if(|_| records.len() < RECORDS_AT_ONCE && size < RECORD_BYTES_AT_ONCE) {
+        while let Some(record) = rest.next_if(|_| records.len() < MAX_RECORDS_PER_PART && size < MAX_RECORD_BYTES_PER_PART) {
             size += record_size(&record.head);
             records.push((record.head.clone(), record.stage));
         }
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -6,30 +6,30 @@
 use crate::prelude::*;
 
 /// A caller's last answers are on their way for this long.
-const ANSWERS_UNDER_WAY: Span = Span::millis(300);
+const ANSWER_DELIVERY_TIME: Span = Span::millis(300);
 /// Nobody has said who keeps what it gave up, or whether to wait.
-const UNANSWERED: Span = Span::secs(2);
+const PLACEMENT_ANSWER_TIMEOUT: Span = Span::secs(2);
 /// It goes after this, whatever it waits for: less than the platform's grace.
-const GONE_WITHIN: Span = Span::secs(5);
+const MAX_DEPARTURE_TIME: Span = Span::secs(5);
 
 /// What placement said of this store's seats.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Seats {
+enum SeatMoves {
     Unknown,
     Moving,
     /// None are left here, or nobody takes them.
-    Settled,
+    NoneLeft,
 }
 
 /// Invariant: set from the order to stop until the end of the process.
 pub(super) struct Departure {
     since: Time,
-    seats: Seats,
+    seats: SeatMoves,
 }
 
 impl Departure {
     pub fn begin(now: Time) -> Departure {
-        Departure { since: now, seats: Seats::Unknown }
+        Departure { since: now, seats: SeatMoves::Unknown }
     }
 }
 
@@ -37,35 +37,35 @@
     /// Placement's answer to a pull that said this store stops.
     pub(super) fn on_departure_answer(&mut self, term: Term, wait: bool) {
         if let Some(departure) = self.departure.as_mut().filter(|_| term == self.link.term()) {
-            departure.seats = if wait { Seats::Moving } else { Seats::Settled };
+            departure.seats = if wait { SeatMoves::Moving } else { SeatMoves::NoneLeft };
         }
     }
 
     /// Sheds all partitions of a store that stops, and ends it when nothing
     /// is left to wait for.
-    pub(super) fn depart(&mut self, now: Time) {
+    pub(super) fn advance_departure(&mut self, now: Time) {
         let Some(Departure { since, seats }) = self.departure else { return };
-        self.shed_all(now);
+        self.mark_all_for_release(now);
         let waited = now.since(since);
         let idle = self.parts.values().all(|part| part.own.is_none());
-        let answered = waited >= ANSWERS_UNDER_WAY && !self.link.due(now);
-        let kept = self.kept_elsewhere() || waited > UNANSWERED;
+        let answered = waited >= ANSWER_DELIVERY_TIME && !self.link.due(now);
+        let kept = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
         let free = match seats {
-            Seats::Unknown => waited > UNANSWERED,
-            Seats::Moving => false,
-            Seats::Settled => true,
+            SeatMoves::Unknown => waited > PLACEMENT_ANSWER_TIMEOUT,
+            SeatMoves::Moving => false,
+            SeatMoves::NoneLeft => true,
         };
-        if (idle && answered && kept && free) || waited > GONE_WITHIN {
-            self.out.push(Effect::Exit);
+        if (idle && answered && kept && free) || waited > MAX_DEPARTURE_TIME {
+            self.effects.push(Effect::Exit);
         }
     }
 
     /// Whether other stores are known to keep all that this one gave up; it
     /// is told on until then.
-    fn kept_elsewhere(&self) -> bool {
-        self.gave.keys().all(|duty| {
-            let Duty::Lead(place) = duty else { return true };
-            self.link.places.get(place).is_some_and(|placing| placing.leader != self.startup.me.id)
+    fn has_other_leaders(&self) -> bool {
+        self.released_grants.keys().all(|duty| {
+            let Duty::Lead(partition) = duty else { return true };
+            self.link.places.get(partition).is_some_and(|location| location.leader != self.startup.me.id)
         })
     }
 }
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -9,40 +9,40 @@
 
 /// A disk stuck for this long costs the store its partitions: a shorter pause
 /// costs less than opening them elsewhere.
-const GIVE_UP_AFTER: Span = Span::millis(500);
+const RELEASE_PARTITIONS_AFTER: Span = Span::millis(500);
 
 impl Store {
     /// Whether new messages can't be written now.
-    pub(super) fn refuses_writes(&self) -> bool {
-        self.disk_stuck.is_some()
+    pub(super) fn is_disk_stuck(&self) -> bool {
+        self.disk_stuck_since.is_some()
     }
 
     /// Whether the disk has been stuck for so long that partitions are given
     /// up.
-    pub(super) fn gives_up_partitions(&self, now: Time) -> bool {
-        self.disk_stuck.is_some_and(|since| now.since(since) >= GIVE_UP_AFTER)
+    pub(super) fn must_release_partitions(&self, now: Time) -> bool {
+        self.disk_stuck_since.is_some_and(|since| now.since(since) >= RELEASE_PARTITIONS_AFTER)
     }
 
     /// Whether a write set can open a new epoch without this store.
-    pub(super) fn spares_this_store(&self, set: &[(Daemon, IncarnationId)]) -> bool {
-        let others = set.iter().filter(|(d, _)| *d != self.startup.me.id && self.link.members.contains_key(d)).count();
-        others > set.len() / 2
+    pub(super) fn has_majority_without_this_store(&self, write_set: &[(Daemon, IncarnationId)]) -> bool {
+        let others = write_set.iter().filter(|(d, _)| *d != self.startup.me.id && self.link.members.contains_key(d)).count();
+        others > write_set.len() / 2
     }
 
     /// Sheds the partitions that the rest of their write set can keep.
-    pub(super) fn shed_if_stuck(&mut self, now: Time) {
-        if !self.gives_up_partitions(now) {
+    pub(super) fn release_if_disk_stuck(&mut self, now: Time) {
+        if !self.must_release_partitions(now) {
             return;
         }
         let spared: Vec<PartitionId> = self
             .parts
             .iter()
-            .filter(|(_, part)| part.own.as_ref().is_some_and(|own| self.spares_this_store(&own.set)))
-            .map(|(place, _)| place.clone())
+            .filter(|(_, part)| part.own.as_ref().is_some_and(|lead| self.has_majority_without_this_store(&lead.set)))
+            .map(|(partition, _)| partition.clone())
             .collect();
-        for place in spared {
-            if let Some(own) = self.parts.get_mut(&place).and_then(|part| part.own.as_mut()) {
-                own.shed.get_or_insert(now);
+        for partition in spared {
+            if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+                lead.shed.get_or_insert(now);
             }
         }
     }
@@ -52,6 +52,6 @@
     /// is still live for one given up.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
         let leads = self.link.held.live(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
-        self.gives_up_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
+        self.must_release_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
     }
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -1,131 +1,151 @@
 //! Routed messages: handed to whichever delivery can reach a worker of their
 //! service, and what becomes of them.
-use super::dispatch::ended;
-use super::{Body, Parked};
+use super::dispatch::stage_after_work;
+use super::{Body, BodyWaiter};
 use crate::prelude::*;
 
 /// What a delivery last said it takes here.
 /// Invariant: of one delivery only the newest word counts.
-pub struct Taking {
-    life: IncarnationId,
+pub struct RoutedCapacityReport {
+    incarnation: IncarnationId,
     /// Lives that it had before: a late word of one says nothing.
-    earlier_lives: Vec<IncarnationId>,
-    asked: Time,
-    at: Time,
+    earlier_incarnations: Vec<IncarnationId>,
+    requested_at: Time,
+    received_at: Time,
     services: BTreeMap<String, u32>,
     addresses: BTreeSet<Duty>,
 }
 
 /// Of each delivery; a word of one before these comes hours late.
-const LIVES_REMEMBERED: usize = 16;
+const MAX_EARLIER_INCARNATIONS: usize = 16;
 /// A word older than this is no longer acted on.
-const WORD: Span = Span::millis(1200);
+const MAX_ROUTED_CAPACITY_AGE: Span = Span::millis(1200);
 /// Of one address to be called back at, so many at once from one store.
-const CALLS_AT_ONCE: u32 = 6;
+const MAX_CALLBACKS_PER_ADDRESS: u32 = 6;
 /// A call-back that failed is tried again after this, doubled to the cap.
-const CALL_PAUSE: Span = Span::millis(300);
-const CALL_PAUSE_MAX: Span = Span::secs(2);
+const CALLBACK_RETRY_DELAY: Span = Span::millis(300);
+const MAX_CALLBACK_RETRY_DELAY: Span = Span::secs(2);
 /// After a run that failed, doubled to the cap; after one that may have run;
 /// after one that did not.
-const FAILED_PAUSE: Span = Span::millis(60);
-const FAILED_PAUSE_MAX: Span = Span::secs(2);
-const DOUBT_PAUSE: Span = Span::millis(120);
-const DOUBT_PAUSE_MAX: Span = Span::secs(5);
-const UNSTARTED_PAUSE: Span = Span::millis(40);
+const FAILED_RETRY_DELAY: Span = Span::millis(60);
+const MAX_FAILED_RETRY_DELAY: Span = Span::secs(2);
+const UNKNOWN_OUTCOME_RETRY_DELAY: Span = Span::millis(120);
+const MAX_UNKNOWN_OUTCOME_RETRY_DELAY: Span = Span::secs(5);
+const NOT_STARTED_RETRY_DELAY: Span = Span::millis(40);
 /// So many bodies are read back for one line at once.
-const LATER_MAX: u32 = 16;
-const READ: Span = Span::secs(1);
+const MAX_BODY_READS_PER_QUEUE: u32 = 16;
+const BODY_READ_RETRY_DELAY: Span = Span::secs(1);
 
 /// When a message was handed in, by this store's clock: what was read from
 /// disk or copied from a peer tells it by the time of day.
-pub(super) fn sent(head: &MessageHeader, made: Time, wall: u64, now: Time) -> Time {
-    if head.accepted_unix_micros == 0 || wall == 0 {
+pub(super) fn accepted_at(header: &MessageHeader, started_at: Time, started_unix_micros: u64, now: Time) -> Time {
+    if header.accepted_unix_micros == 0 || started_unix_micros == 0 {
         return now;
     }
-    let day = wall + now.since(made).0;
-    Time(now.0.saturating_sub(day.saturating_sub(head.accepted_unix_micros)))
+    let unix_now = started_unix_micros + now.since(started_at).0;
+    Time(now.0.saturating_sub(unix_now.saturating_sub(header.accepted_unix_micros)))
 }
 
 /// One line with something due, and its place in turn.
-struct Line {
+struct ReadyQueue {
     priority: u32,
-    first: Time,
-    place: PartitionId,
+    oldest_due: Time,
+    partition: PartitionId,
     /// Its route, or the address to be called back at.
-    name: String,
+    route_or_address: String,
 }
 
 impl Store {
-    pub(super) fn on_reach(
+    pub(super) fn on_routed_capacity(
         &mut self,
         from: &Daemon,
-        asked: Time,
-        reach: RoutedCapacity,
-        places: &[(PartitionId, Epoch)],
-        holding: &[InFlightAttempt],
+        requested_at: Time,
+        capacity: RoutedCapacity,
+        partitions: &[(PartitionId, Epoch)],
+        in_flight: &[InFlightAttempt],
         now: Time,
     ) {
-        let old = self.taking.get(from);
-        let overtaken = |t: &Taking| t.life == reach.incarnation && t.asked > asked;
-        if old.is_some_and(|t| overtaken(t) || t.earlier_lives.contains(&reach.incarnation)) {
+        let old = self.routed_capacity.get(from);
+        let overtaken = |t: &RoutedCapacityReport| t.incarnation == capacity.incarnation && t.requested_at > requested_at;
+        if old.is_some_and(|t| overtaken(t) || t.earlier_incarnations.contains(&capacity.incarnation)) {
             return;
         }
-        self.stirred = true;
-        let mut earlier_lives = old.map(|t| t.earlier_lives.clone()).unwrap_or_default();
-        if let Some(life) = old.map(|t| t.life).filter(|life| *life != reach.incarnation) {
-            earlier_lives.push(life);
-            earlier_lives.drain(..earlier_lives.len().saturating_sub(LIVES_REMEMBERED));
-            self.life_over(from, reach.incarnation, now);
+        self.dispatch_needed = true;
+        let mut earlier_incarnations = old.map(|t| t.earlier_incarnations.clone()).unwrap_or_default();
+        if let Some(incarnation) = old.map(|t| t.incarnation).filter(|incarnation| *incarnation != capacity.incarnation) {
+            earlier_incarnations.push(incarnation);
+            earlier_incarnations.drain(..earlier_incarnations.len().saturating_sub(MAX_EARLIER_INCARNATIONS));
+            self.end_attempts_of_earlier_incarnations(from, capacity.incarnation, now);
         }
-        let services = reach.services.into_iter().collect();
-        let addresses = reach.addresses.into_iter().collect();
-        self.taking.insert(from.clone(), Taking { life: reach.incarnation, earlier_lives, asked, at: now, services, addresses });
-        self.vouch(from, places, holding, now);
+        let services = capacity.services.into_iter().collect();
+        let addresses = capacity.addresses.into_iter().collect();
+        self.routed_capacity.insert(
+            from.clone(),
+            RoutedCapacityReport {
+                incarnation: capacity.incarnation,
+                earlier_incarnations,
+                requested_at,
+                received_at: now,
+                services,
+                addresses,
+            },
+        );
+        self.requeue_unclaimed_routed(from, partitions, in_flight, now);
     }
 
     /// A delivery lives anew: what its earlier life had in hand is over, and
     /// may have run.
-    fn life_over(&mut self, from: &Daemon, life: IncarnationId, now: Time) {
+    fn end_attempts_of_earlier_incarnations(&mut self, from: &Daemon, incarnation: IncarnationId, now: Time) {
         let mut over = Vec::new();
-        for (place, p) in &self.parts {
-            let Some(own) = p.own.as_ref() else { continue };
-            let gone = own.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != life);
-            over.extend(gone.filter_map(|(seq, _)| Some((place.clone(), *seq, own.lane.ids.get(seq)?.clone()))));
+        for (partition, part) in &self.parts {
+            let Some(lead) = part.own.as_ref() else { continue };
+            let stale = lead.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != incarnation);
+            over.extend(stale.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.lane.ids.get(seq)?.clone()))));
         }
-        for (place, seq, id) in over {
-            if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
-                own.lane.flights.remove(&seq);
+        for (partition, seq, id) in over {
+            if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+                lead.lane.flights.remove(&seq);
             }
-            self.post_back(&place, &id, AttemptOutcome::Unknown, now);
+            self.retry_routed(&partition, &id, AttemptOutcome::Unknown, now);
         }
     }
 
     /// A delivery that knows a new leader's epoch takes nothing of an earlier
     /// one any more. Once every delivery has said so, only what one of them
     /// names is still under way, and the rest need not wait.
-    fn vouch(&mut self, from: &Daemon, places: &[(PartitionId, Epoch)], holding: &[InFlightAttempt], now: Time) {
+    fn requeue_unclaimed_routed(
+        &mut self,
+        from: &Daemon,
+        partitions: &[(PartitionId, Epoch)],
+        in_flight: &[InFlightAttempt],
+        now: Time,
+    ) {
         let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
-        for (place, epoch) in places {
-            let Some(p) = self.parts.get_mut(place) else { continue };
-            let Some(own) = p.own.as_mut() else { continue };
-            if own.epoch != *epoch || own.phase != Phase::Serving || own.quiet <= now {
+        for (partition, epoch) in partitions {
+            let Some(part) = self.parts.get_mut(partition) else { continue };
+            let Some(lead) = part.own.as_mut() else { continue };
+            if lead.epoch != *epoch || lead.phase != Phase::Serving || lead.quiet <= now {
                 continue;
             }
-            let held = holding.iter().filter(|h| h.partition == *place).filter_map(|h| p.recs.get(&h.id)).map(|r| r.head.seq);
-            own.vouched.insert(from.clone(), held.collect());
-            if !all.iter().all(|d| own.vouched.contains_key(*d)) {
+            let held = in_flight
+                .iter()
+                .filter(|h| h.partition == *partition)
+                .filter_map(|h| part.recs.get(&h.id))
+                .map(|record| record.head.seq);
+            lead.vouched.insert(from.clone(), held.collect());
+            if !all.iter().all(|d| lead.vouched.contains_key(*d)) {
                 continue;
             }
-            let held: BTreeSet<u64> = own.vouched.values().flatten().copied().collect();
-            let quiet = own.quiet;
-            for due in own.lane.posts.values_mut() {
+            let held: BTreeSet<u64> = lead.vouched.values().flatten().copied().collect();
+            let quiet = lead.quiet;
+            for due in lead.lane.posts.values_mut() {
                 let over = |one: &(Time, u64)| one.0 == quiet && !held.contains(&one.1);
                 let over: Vec<u64> = due.iter().filter(over).map(|one| one.1).collect();
                 for seq in over {
                     due.put_off(seq, now);
                 }
             }
-            for set in own.lane.calls.values_mut() {
+            for set in lead.lane.calls.values_mut() {
                 let rest: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !held.contains(s)).map(|x| x.1).collect();
                 for seq in rest {
                     set.remove(&(quiet, seq));
@@ -137,163 +157,180 @@
 
     /// Hands out what is due: to a delivery of this zone while it has room,
     /// else to the one that has most.
-    pub(super) fn fill_posts(&mut self, now: Time) {
-        if self.taking.is_empty() || self.link.rules.spool == 0 {
+    pub(super) fn dispatch_routed(&mut self, now: Time) {
+        if self.routed_capacity.is_empty() || self.link.rules.spool == 0 {
             return;
         }
-        if self.routed != self.link.rules.version {
-            self.routed = self.link.rules.version;
-            self.end_dropped(now);
+        if self.routes_checked != self.link.rules.version {
+            self.routes_checked = self.link.rules.version;
+            self.expire_routed(now);
         }
-        let mut out: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
-        let mut goals: BTreeMap<Destination, Vec<Line>> = BTreeMap::new();
-        for (place, p) in &self.parts {
-            let Some(own) = p.own.as_ref() else { continue };
-            for f in own.lane.flights.values() {
+        let mut in_flight: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
+        let mut destinations: BTreeMap<Destination, Vec<ReadyQueue>> = BTreeMap::new();
+        for (partition, part) in &self.parts {
+            let Some(lead) = part.own.as_ref() else { continue };
+            for f in lead.lane.flights.values() {
                 if let Some(g) = &f.goal {
-                    *out.entry((g.clone(), f.to.clone())).or_default() += 1;
+                    *in_flight.entry((g.clone(), f.to.clone())).or_default() += 1;
                 }
             }
-            if own.shed.is_some() || !self.link.rules.spooled(place) || !self.serving(place, now) {
+            if lead.shed.is_some() || !self.link.rules.spooled(partition) || !self.is_serving(partition, now) {
                 continue;
             }
-            for (name, due) in &own.lane.posts {
+            for (route_name, due) in &lead.lane.posts {
                 let Some(first) = due.oldest(now) else { continue };
-                let Some(route) = self.link.rules.routes.get(name) else { continue };
-                let line = Line { priority: route.priority, first, place: place.clone(), name: name.clone() };
-                goals.entry(Destination::Service(route.service.clone())).or_default().push(line);
+                let Some(route) = self.link.rules.routes.get(route_name) else { continue };
+                let queue = ReadyQueue {
+                    priority: route.priority,
+                    oldest_due: first,
+                    partition: partition.clone(),
+                    route_or_address: route_name.clone(),
+                };
+                destinations.entry(Destination::Service(route.service.clone())).or_default().push(queue);
             }
-            for (desk, set) in &own.lane.calls {
+            for (callback, set) in &lead.lane.calls {
                 let Some((first, _)) = set.first().filter(|f| f.0 <= now) else { continue };
-                let line = Line { priority: 0, first: *first, place: place.clone(), name: desk.clone() };
-                goals.entry(Destination::Address(desk.clone())).or_default().push(line);
+                let queue = ReadyQueue {
+                    priority: 0,
+                    oldest_due: *first,
+                    partition: partition.clone(),
+                    route_or_address: callback.clone(),
+                };
+                destinations.entry(Destination::Address(callback.clone())).or_default().push(queue);
             }
         }
         let mut offers: BTreeMap<Daemon, (Time, Vec<Offer>)> = BTreeMap::new();
-        for (goal, mut lines) in goals {
-            lines.sort_by_key(|l| std::cmp::Reverse((l.priority, l.first)));
-            while let Some(line) = lines.pop() {
-                let Some((to, asked, life)) = self.taker(&goal, &out, now) else { break };
-                let Some(offer) = self.take_post(&line, &goal, &to, life, now) else { continue };
-                *out.entry((goal.clone(), to.clone())).or_default() += 1;
+        for (destination, mut queues) in destinations {
+            queues.sort_by_key(|l| std::cmp::Reverse((l.priority, l.oldest_due)));
+            while let Some(queue) = queues.pop() {
+                let Some((to, requested_at, incarnation)) = self.choose_delivery(&destination, &in_flight, now) else { break };
+                let Some(offer) = self.take_routed(&queue, &destination, &to, incarnation, now) else { continue };
+                *in_flight.entry((destination.clone(), to.clone())).or_default() += 1;
                 self.counts.offers += 1;
-                offers.entry(to).or_insert((asked, Vec::new())).1.push(offer);
+                offers.entry(to).or_insert((requested_at, Vec::new())).1.push(offer);
                 // Lines of one priority take turns.
-                let at = lines.iter().position(|l| l.priority == line.priority).unwrap_or(lines.len());
-                lines.insert(at, line);
+                let at = queues.iter().position(|q| q.priority == queue.priority).unwrap_or(queues.len());
+                queues.insert(at, queue);
             }
         }
-        for (to, (asked, all)) in offers {
-            self.say(&to, PeerMessage::Offers { requested_at: asked, entries: all });
+        for (to, (requested_at, entries)) in offers {
+            self.send(&to, PeerMessage::Offers { requested_at, entries });
         }
     }
 
-    fn taker(
+    fn choose_delivery(
         &self,
-        goal: &Destination,
-        out: &BTreeMap<(Destination, Daemon), u32>,
+        destination: &Destination,
+        in_flight: &BTreeMap<(Destination, Daemon), u32>,
         now: Time,
     ) -> Option<(Daemon, Time, IncarnationId)> {
         let zone = &self.startup.me.zone;
-        let spare = |d: &Daemon, t: &Taking| {
-            let most = match goal {
+        let spare = |d: &Daemon, t: &RoutedCapacityReport| {
+            let most = match destination {
                 Destination::Service(s) => t.services.get(s).copied().unwrap_or(0),
-                Destination::Address(a) if t.addresses.contains(&Duty::for_unlisted_address(a)) => CALLS_AT_ONCE,
+                Destination::Address(a) if t.addresses.contains(&Duty::for_unlisted_address(a)) => MAX_CALLBACKS_PER_ADDRESS,
                 Destination::Address(_) => 0,
             };
-            most.saturating_sub(out.get(&(goal.clone(), d.clone())).copied().unwrap_or(0))
+            most.saturating_sub(in_flight.get(&(destination.clone(), d.clone())).copied().unwrap_or(0))
         };
-        let fit = self.taking.iter().filter(|(_, t)| now.since(t.at) < WORD);
+        let fit = self.routed_capacity.iter().filter(|(_, t)| now.since(t.received_at) < MAX_ROUTED_CAPACITY_AGE);
         let best = fit
             .map(|(d, t)| (spare(d, t), d, t))
             .filter(|x| x.0 > 0)
             .max_by_key(|(s, d, _)| (self.link.zone_of(d) == Some(zone), *s, std::cmp::Reverse(*d)))?;
-        Some((best.1.clone(), best.2.asked, best.2.life))
+        Some((best.1.clone(), best.2.requested_at, best.2.incarnation))
     }
 
-    fn take_post(&mut self, line: &Line, goal: &Destination, to: &Daemon, life: IncarnationId, now: Time) -> Option<Offer> {
-        let call = matches!(goal, Destination::Address(_));
-        let attempt = match call {
+    fn take_routed(
+        &mut self,
+        queue: &ReadyQueue,
+        destination: &Destination,
+        to: &Daemon,
+        incarnation: IncarnationId,
+        now: Time,
+    ) -> Option<Offer> {
+        let is_callback = matches!(destination, Destination::Address(_));
+        let attempt = match is_callback {
             true => CALLBACK_TIMEOUT,
-            false => self.link.rules.routes.get(&line.name)?.attempt,
+            false => self.link.rules.routes.get(&queue.route_or_address)?.attempt,
         };
-        let worth = self.link.rules.routes.get(&line.name).map(|r| r.worth);
+        let max_age = self.link.rules.routes.get(&queue.route_or_address).map(|x| x.worth);
         // What can still begin in the time wanted goes before what is late
         // already; but each fourth turn is the oldest's.
-        let start = self.link.rules.routes.get(&line.name).map_or(Span::ZERO, |r| r.start);
-        let oldest = start == Span::ZERO || self.counts.offers.is_multiple_of(4);
-        let fresh = Time(now.0.saturating_sub(start.0));
-        let place = &line.place;
-        let mut later = 0;
+        let start_target = self.link.rules.routes.get(&queue.route_or_address).map_or(Span::ZERO, |x| x.start);
+        let oldest_first = start_target == Span::ZERO || self.counts.offers.is_multiple_of(4);
+        let on_time_since = Time(now.0.saturating_sub(start_target.0));
+        let partition = &queue.partition;
+        let mut reads = 0;
         loop {
-            let p = self.parts.get_mut(place)?;
-            let own = p.own.as_mut()?;
-            let (due, seq) = match call {
-                true => own.lane.pop(Some(&line.name), now)?,
-                false => match (own.lane.posts.get_mut(&line.name)?, oldest) {
+            let part = self.parts.get_mut(partition)?;
+            let lead = part.own.as_mut()?;
+            let (due, seq) = match is_callback {
+                true => lead.lane.pop(Some(&queue.route_or_address), now)?,
+                false => match (lead.lane.posts.get_mut(&queue.route_or_address)?, oldest_first) {
                     (due, true) => due.pop_oldest(now)?,
-                    (due, false) => due.pop_fresh(fresh, now)?,
+                    (due, false) => due.pop_fresh(on_time_since, now)?,
                 },
             };
-            let Some(r) = own.lane.ids.get(&seq).and_then(|id| p.recs.get(id)) else { continue };
-            let id = r.head.id.clone();
-            if own.won.contains(&seq) {
-                self.settle_won(place, &id, now);
+            let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
+            let id = record.head.id.clone();
+            if lead.won.contains(&seq) {
+                self.release_deferred_success(partition, &id, now);
                 continue;
             }
-            if !self.may_hand_out(place, &id, call) {
+            if !self.may_dispatch(partition, &id, is_callback) {
                 continue;
             }
-            let r = self.parts.get(place)?.recs.get(&id)?;
-            if !call && worth.is_some_and(|w| now.since(r.taken) > w) {
-                let next = ended(r, Outcome::Expired);
-                self.stage(place, &id, next, None, now);
+            let record = self.parts.get(partition)?.recs.get(&id)?;
+            if !is_callback && max_age.is_some_and(|w| now.since(record.taken) > w) {
+                let next = stage_after_work(record, Outcome::Expired);
+                self.set_stage(partition, &id, next, None, now);
                 continue;
             }
-            let (head, body) = match self.post_bytes(place, &id, call) {
+            let (header, body) = match self.header_and_body(partition, &id, is_callback) {
                 Ok(x) => x,
-                Err(bad) => {
-                    let part = self.parts.get_mut(place)?;
-                    let key = part.recs.get(&id).map(|r| r.head.key.clone()).unwrap_or_default();
-                    part.own.as_mut()?.lane.post(&line.name, &key, now + READ, seq);
-                    if bad {
-                        self.found_bad(place, &id, now);
+                Err(is_corrupt) => {
+                    let part = self.parts.get_mut(partition)?;
+                    let key = part.recs.get(&id).map(|record| record.head.key.clone()).unwrap_or_default();
+                    part.own.as_mut()?.lane.post(&queue.route_or_address, &key, now + BODY_READ_RETRY_DELAY, seq);
+                    if is_corrupt {
+                        self.on_corrupt_body(partition, &id, now);
                         continue;
                     }
-                    later += 1;
-                    let who = Parked::Post { route: line.name.clone(), due, seq };
-                    if !self.park(place, &id, who) || later >= LATER_MAX {
+                    reads += 1;
+                    let waiter = BodyWaiter::RoutedDispatch { route: queue.route_or_address.clone(), due, seq };
+                    if !self.read_body_for(partition, &id, waiter) || reads >= MAX_BODY_READS_PER_QUEUE {
                         return None;
                     }
                     continue;
                 }
             };
-            let p = self.parts.get_mut(place)?;
-            let stage = p.recs.get(&id)?.stage;
-            let own = p.own.as_mut()?;
-            own.attempts += 1;
-            let (epoch, attempt_id) = (own.epoch, own.attempts);
+            let part = self.parts.get_mut(partition)?;
+            let stage = part.recs.get(&id)?.stage;
+            let lead = part.own.as_mut()?;
+            lead.attempts += 1;
+            let (epoch, attempt_id) = (lead.epoch, lead.attempts);
             let duty = Duty::TargetShard(String::new());
             let flight = Flight {
                 duty: duty.clone(),
                 to: to.clone(),
                 attempt: attempt_id,
                 owes: String::new(),
-                goal: Some(goal.clone()),
-                life,
+                goal: Some(destination.clone()),
+                life: incarnation,
                 end: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
-            own.lane.flights.insert(seq, flight);
-            let place = place.clone();
+            lead.lane.flights.insert(seq, flight);
+            let partition = partition.clone();
             return Some(Offer {
                 duty,
-                partition: place,
-                header: head,
+                partition,
+                header,
                 stage,
                 epoch,
                 attempt: attempt_id,
                 body,
-                destination: Some(goal.clone()),
+                destination: Some(destination.clone()),
                 timeout: attempt,
             });
         }
@@ -302,69 +339,77 @@
     /// A message's head and bytes as they are handed out; a call-back carries
     /// none, and its head says so. `Err` when they are not at hand, and
     /// whether the copy here is bad.
-    fn post_bytes(&mut self, place: &PartitionId, id: &MessageId, call: bool) -> Result<(MessageHeader, Bytes), bool> {
-        let head = self.parts.get(place).and_then(|p| p.recs.get(id)).map(|r| r.head.clone()).ok_or(true)?;
-        if call {
-            return Ok((MessageHeader { len: 0, crc: crc32(b""), ..head }, Bytes::new()));
+    fn header_and_body(
+        &mut self,
+        partition: &PartitionId,
+        id: &MessageId,
+        is_callback: bool,
+    ) -> Result<(MessageHeader, Bytes), bool> {
+        let header =
+            self.parts.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.head.clone()).ok_or(true)?;
+        if is_callback {
+            return Ok((MessageHeader { len: 0, crc: crc32(b""), ..header }, Bytes::new()));
         }
-        match self.body_of(place, id) {
-            Body::Here(b) => Ok((head, b)),
-            Body::Later => Err(false),
-            Body::Bad => Err(true),
+        match self.body_of(partition, id) {
+            Body::InMemory(b) => Ok((header, b)),
+            Body::OnDisk => Err(false),
+            Body::Corrupt => Err(true),
         }
     }
 
     /// An attempt's hard end has passed without a word of it.
-    pub(super) fn lapsed(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
-        let routed = self.parts.get(place).and_then(|p| p.recs.get(id)).is_some_and(|r| !r.head.route.is_empty());
+    pub(super) fn on_attempt_expired(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
+        let routed =
+            self.parts.get(partition).and_then(|part| part.recs.get(id)).is_some_and(|record| !record.head.route.is_empty());
         match routed {
-            true => self.post_back(place, id, AttemptOutcome::Unknown, now),
-            false => self.back(place, id, true, now),
+            true => self.retry_routed(partition, id, AttemptOutcome::Unknown, now),
+            false => self.retry_or_give_up(partition, id, true, now),
         }
     }
 
     /// A run ended without success: again later, or given up when a worker
     /// has said so often enough that it failed.
-    pub(super) fn post_back(&mut self, place: &PartitionId, id: &MessageId, told: AttemptOutcome, now: Time) {
+    pub(super) fn retry_routed(&mut self, partition: &PartitionId, id: &MessageId, outcome: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
-        let Some(p) = self.parts.get_mut(place) else { return };
-        let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get_mut(id)) else { return };
-        let seq = r.head.seq;
-        if own.won.contains(&seq) {
-            return self.settle_won(place, id, now);
+        let Some(part) = self.parts.get_mut(partition) else { return };
+        let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get_mut(id)) else { return };
+        let seq = record.head.seq;
+        if lead.won.contains(&seq) {
+            return self.release_deferred_success(partition, id, now);
         }
         let double = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
-        match r.stage {
+        match record.stage {
             Stage::Pending => {
-                let Some(route) = self.link.rules.routes.get(&r.head.route) else {
-                    let next = ended(r, Outcome::Expired);
-                    return self.stage(place, id, next, None, now);
+                let Some(route) = self.link.rules.routes.get(&record.head.route) else {
+                    let next = stage_after_work(record, Outcome::Expired);
+                    return self.set_stage(partition, id, next, None, now);
                 };
-                r.tries += u32::from(told == AttemptOutcome::Failed);
-                if r.tries >= route.attempts {
-                    let next = ended(r, Outcome::GivenUp);
-                    return self.stage(place, id, next, None, now);
+                record.tries += u32::from(outcome == AttemptOutcome::Failed);
+                if record.tries >= route.attempts {
+                    let next = stage_after_work(record, Outcome::GivenUp);
+                    return self.set_stage(partition, id, next, None, now);
                 }
-                let pause = match told {
-                    AttemptOutcome::Failed => double(FAILED_PAUSE, r.tries - 1, FAILED_PAUSE_MAX),
-                    AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
+                let pause = match outcome {
+                    AttemptOutcome::Failed => double(FAILED_RETRY_DELAY, record.tries - 1, MAX_FAILED_RETRY_DELAY),
+                    AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
                     // A run that always goes past its time must not take a
                     // worker's slot again and again.
                     _ => {
-                        let pause = Span((DOUBT_PAUSE.0 << r.doubts.min(12)).min(DOUBT_PAUSE_MAX.0));
-                        r.doubts += 1;
+                        let pause =
+                            Span((UNKNOWN_OUTCOME_RETRY_DELAY.0 << record.doubts.min(12)).min(MAX_UNKNOWN_OUTCOME_RETRY_DELAY.0));
+                        record.doubts += 1;
                         pause
                     }
                 };
-                own.lane.post(&r.head.route, &r.head.key, now + pause, seq);
+                lead.lane.post(&record.head.route, &record.head.key, now + pause, seq);
             }
             Stage::EndedAwaitingCallback(_) => {
-                let pause = match told {
-                    AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
-                    _ => double(CALL_PAUSE, r.tries, CALL_PAUSE_MAX),
+                let pause = match outcome {
+                    AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
+                    _ => double(CALLBACK_RETRY_DELAY, record.tries, MAX_CALLBACK_RETRY_DELAY),
                 };
-                r.tries += u32::from(told != AttemptOutcome::NotStarted);
-                own.lane.calls.entry(r.head.callback.clone()).or_default().insert((now + pause, seq));
+                record.tries += u32::from(outcome != AttemptOutcome::NotStarted);
+                lead.lane.calls.entry(record.head.callback.clone()).or_default().insert((now + pause, seq));
             }
             Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
@@ -372,31 +417,31 @@
 
     /// Messages whose route a configuration dropped, or that are past their worth,
     /// end; those under way when their run does.
-    pub(super) fn end_dropped(&mut self, now: Time) {
+    pub(super) fn expire_routed(&mut self, now: Time) {
         let rules = &self.link.rules;
-        let mut gone: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
-        for (place, p) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.serving(k, now)) {
-            let Some(own) = p.own.as_ref() else { continue };
-            for (name, due) in &own.lane.posts {
+        let mut stale: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
+        for (partition, part) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
+            let Some(lead) = part.own.as_ref() else { continue };
+            for (name, due) in &lead.lane.posts {
                 let route = rules.routes.get(name);
                 for (_, seq) in due.iter() {
-                    let Some(r) = own.lane.ids.get(&seq).and_then(|id| p.recs.get(id)) else { continue };
+                    let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
                     // One whose success is kept back did not expire.
-                    let open = !own.won.contains(&seq) && !own.lane.rests(seq, own.quiet, now);
-                    if route.is_none_or(|x| now.since(r.taken) > x.worth) && open {
-                        gone.push((place.clone(), r.head.id.clone(), ended(r, Outcome::Expired)));
+                    let open = !lead.won.contains(&seq) && !lead.lane.rests(seq, lead.quiet, now);
+                    if route.is_none_or(|x| now.since(record.taken) > x.worth) && open {
+                        stale.push((partition.clone(), record.head.id.clone(), stage_after_work(record, Outcome::Expired)));
                     }
                 }
             }
         }
-        for (place, id, next) in gone {
-            if let Some(p) = self.parts.get_mut(&place) {
-                let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get(&id)) else { continue };
-                if let Some(due) = own.lane.posts.get_mut(&r.head.route) {
-                    due.take(r.head.seq);
+        for (partition, id, next) in stale {
+            if let Some(part) = self.parts.get_mut(&partition) {
+                let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(&id)) else { continue };
+                if let Some(due) = lead.lane.posts.get_mut(&record.head.route) {
+                    due.take(record.head.seq);
                 }
             }
-            self.stage(&place, &id, next, None, now);
+            self.set_stage(&partition, &id, next, None, now);
         }
     }
 }
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -1,136 +1,141 @@
 //! What a store sees to now and then, whatever is asked of it: records whose
 //! time is over, duties that nobody takes, and files that are mostly waste.
-use super::Parked;
+use super::BodyWaiter;
 use crate::prelude::*;
 
 /// Beyond the reading time, for a copy that nobody tends.
-const FORGET: Span = Span::secs(30);
+const UNLED_RETENTION_MARGIN: Span = Span::secs(30);
 /// How much of the oldest file is written again in one second.
-const CLEAN: u64 = 2 << 20;
+const MAX_REWRITE_BYTES: u64 = 2 << 20;
 
 impl Store {
     /// Each second: attempts past their hard end, messages past their reading
     /// time or their worth, and the oldest files.
-    pub(super) fn sweep(&mut self, now: Time) {
+    pub(super) fn run_maintenance(&mut self, now: Time) {
         let retain = self.link.rules.retain;
-        let owned: Vec<PartitionId> = self.parts.keys().filter(|p| self.serving(p, now)).cloned().collect();
-        for place in owned {
-            self.lapse_overdue(&place, now);
-            let Some(p) = self.parts.get_mut(&place) else { continue };
-            let Some(own) = p.own.as_mut() else { continue };
+        let led: Vec<PartitionId> = self.parts.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
+        for partition in led {
+            self.expire_overdue_attempts(&partition, now);
+            let Some(part) = self.parts.get_mut(&partition) else { continue };
+            let Some(lead) = part.own.as_mut() else { continue };
             // Kept-back successes whose other attempts are over by now.
-            let (quiet, lane) = (own.quiet, &own.lane);
-            let sure: Vec<MessageId> = own
+            let (quiet, lane) = (lead.quiet, &lead.lane);
+            let settled: Vec<MessageId> = lead
                 .won
                 .iter()
                 .filter(|s| !lane.flights.contains_key(s) && !lane.rests(**s, quiet, now))
                 .filter_map(|s| lane.ids.get(s).cloned())
                 .collect();
-            let mut drop = Vec::new();
-            let mut old = Vec::new();
+            let mut to_drop = Vec::new();
+            let mut expired = Vec::new();
             let mut stranded = Vec::new();
-            for (id, r) in &p.recs {
-                match r.stage {
-                    Stage::Ended(_) if retain > Span::ZERO && now.since(r.ended) > retain => drop.push(id.clone()),
+            for (id, record) in &part.recs {
+                match record.stage {
+                    Stage::Ended(_) if retain > Span::ZERO && now.since(record.ended) > retain => to_drop.push(id.clone()),
                     Stage::Pending
-                        if r.head.ttl.is_some_and(|t| now.since(r.taken) > t)
-                            && !own.lane.flights.contains_key(&r.head.seq)
-                            && !own.won.contains(&r.head.seq) =>
+                        if record.head.ttl.is_some_and(|t| now.since(record.taken) > t)
+                            && !lead.lane.flights.contains_key(&record.head.seq)
+                            && !lead.won.contains(&record.head.seq) =>
                     {
-                        old.push(id.clone());
+                        expired.push(id.clone());
                     }
-                    Stage::Pending if !r.head.route.is_empty() && !own.shown.contains_key(id) && !own.lane.stands(&r.head) => {
+                    Stage::Pending
+                        if !record.head.route.is_empty() && !lead.shown.contains_key(id) && !lead.lane.stands(&record.head) =>
+                    {
                         stranded.push(id.clone());
                     }
                     _ => {}
                 }
             }
-            for id in sure {
-                self.settle_won(&place, &id, now);
+            for id in settled {
+                self.release_deferred_success(&partition, &id, now);
             }
             for id in stranded {
-                self.let_in_again(&place, &id, now);
+                self.requeue_stranded(&partition, &id, now);
             }
-            for id in old {
-                self.stage(&place, &id, Stage::Ended(Outcome::Expired), None, now);
+            for id in expired {
+                self.set_stage(&partition, &id, Stage::Ended(Outcome::Expired), None, now);
             }
-            for id in drop.into_iter().take(2000) {
-                self.write(&place, PartitionOp::Remove(id), now);
+            for id in to_drop.into_iter().take(2000) {
+                self.write_op(&partition, PartitionOp::Remove(id), now);
             }
         }
-        self.end_dropped(now);
-        self.forget(now);
-        self.watch_duties(now);
-        self.clean();
+        self.expire_routed(now);
+        self.drop_unled_records(now);
+        self.track_unserved_duties(now);
+        self.rewrite_oldest_file();
     }
 
     /// A copy that no leader tends hears of no drops. What ended here lets go
     /// of its room all the same, later than any leader would drop it.
-    fn forget(&mut self, now: Time) {
+    fn drop_unled_records(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         if retain == Span::ZERO {
             return;
         }
-        for (place, p) in self.parts.iter_mut().filter(|(_, p)| p.own.is_none() && p.fetch.is_none()) {
-            let past = |r: &Rec| matches!(r.stage, Stage::Ended(_)) && now.since(r.ended) > retain + FORGET;
-            let old: Vec<MessageId> = p.recs.iter().filter(|(_, r)| past(r)).map(|(id, _)| id.clone()).take(1000).collect();
+        for (partition, part) in self.parts.iter_mut().filter(|(_, part)| part.own.is_none() && part.fetch.is_none()) {
+            let past = |record: &Rec| {
+                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended) > retain + UNLED_RETENTION_MARGIN
+            };
+            let old: Vec<MessageId> =
+                part.recs.iter().filter(|(_, record)| past(record)).map(|(id, _)| id.clone()).take(1000).collect();
             for id in old {
-                self.held_bytes += p.drop(place, &id, &mut self.ledger);
-                self.ledger.push(Line::Op { place: place.clone(), n: p.n, op: PartitionOp::Remove(id) });
+                self.held_bytes += part.drop(partition, &id, &mut self.ledger);
+                self.ledger.push(Line::Op { place: partition.clone(), n: part.n, op: PartitionOp::Remove(id) });
             }
         }
     }
 
     /// Notes duties that have something due and a holder that we do not hear.
-    fn watch_duties(&mut self, now: Time) {
+    fn track_unserved_duties(&mut self, now: Time) {
         if !self.link.fresh(now) {
-            return self.starved.clear();
+            return self.unserved_since.clear();
         }
-        let (lanes, _) = self.due_lanes(now);
-        self.starved.retain(|d, _| lanes.contains_key(d));
-        for duty in lanes.into_keys() {
-            if self.rooms.get(&duty).is_some_and(|r| now.since(r.at) < Span::millis(1500)) {
-                self.starved.remove(&duty);
+        let (queues, _) = self.ready_queues(now);
+        self.unserved_since.retain(|d, _| queues.contains_key(d));
+        for duty in queues.into_keys() {
+            if self.reported_capacity.get(&duty).is_some_and(|c| now.since(c.received_at) < Span::millis(1500)) {
+                self.unserved_since.remove(&duty);
                 continue;
             }
-            self.starved.entry(duty).or_insert(now);
+            self.unserved_since.entry(duty).or_insert(now);
         }
     }
 
     /// What placement is told of them.
-    pub(super) fn unheard(&self, now: Time) -> Vec<Duty> {
-        let quiet = self.starved.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
+    pub(super) fn unreachable_duties(&self, now: Time) -> Vec<Duty> {
+        let unserved = self.unserved_since.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
         // A delivery always tells an attempt's end; one that does not is cut
         // off. Moving an endpoint costs its newcomer's share, so twice there.
-        let few = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
-        let mute = self.mute.iter().filter(|(d, n)| **n >= few(d)).map(|(d, _)| d.clone());
-        quiet.chain(mute).collect::<BTreeSet<Duty>>().into_iter().collect()
+        let min_unreported = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
+        let unreported = self.unreported_in_a_row.iter().filter(|(d, n)| **n >= min_unreported(d)).map(|(d, _)| d.clone());
+        unserved.chain(unreported).collect::<BTreeSet<Duty>>().into_iter().collect()
     }
 
     /// Writes living records of the oldest file again, a part at a time, so
     /// that it can go; what is not in memory is read back for the next time.
-    fn clean(&mut self) {
+    fn rewrite_oldest_file(&mut self) {
         // A record's lines take some room beside its bytes.
-        let count: usize = self.parts.values().map(|p| p.recs.len()).sum();
+        let count: usize = self.parts.values().map(|part| part.recs.len()).sum();
         let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
         let Some((first, last)) = self.ledger.sparse(live) else { return };
-        let (mut here, mut absent) = (Vec::new(), Vec::new());
+        let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
-        for (place, p) in &self.parts {
-            for r in p.recs.values().filter(|r| first <= r.home && r.home <= last) {
-                size += u64::from(r.head.len) + 256;
-                if size > CLEAN {
+        for (partition, part) in &self.parts {
+            for record in part.recs.values().filter(|record| first <= record.home && record.home <= last) {
+                size += u64::from(record.head.len) + 256;
+                if size > MAX_REWRITE_BYTES {
                     break;
                 }
-                let set = if r.bytes().is_some() { &mut here } else { &mut absent };
-                set.push((place.clone(), r.head.id.clone()));
+                let set = if record.bytes().is_some() { &mut in_memory } else { &mut on_disk };
+                set.push((partition.clone(), record.head.id.clone()));
             }
         }
-        for (place, id) in here {
-            self.write_again(&place, &id);
+        for (partition, id) in in_memory {
+            self.rewrite_record(&partition, &id);
         }
-        for (place, id) in absent {
-            if !self.park(&place, &id, Parked::Clean) {
+        for (partition, id) in on_disk {
+            if !self.read_body_for(&partition, &id, BodyWaiter::Rewrite) {
                 break;
             }
         }
