--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -133,7 +133,7 @@
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
             seeds: names.collect(),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             election: ElectionTiming::default(),
             window: Span::millis(1000),
             hold: Span::millis(3200),
@@ -197,7 +197,7 @@
         self.fakes.insert(daemon(name), one);
     }
     pub fn primary(&self) -> Option<Daemon> {
-        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.may_act(self.now);
+        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.is_active_leader(self.now);
         self.cores.keys().find(acts).cloned()
     }
     pub fn standby(&self) -> Daemon {
@@ -248,7 +248,7 @@
                 f.news.push(item);
             }
         }
-        let end = Terms::default().holder_end(asked);
+        let end = LeaseTerms::default().holder_expiry(asked);
         f.shed = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
@@ -404,7 +404,7 @@
         stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Config { .. }))).count()
     }
     pub fn committed(&self) -> u64 {
-        self.cores.values().map(|c| c.election.commit()).max().unwrap_or(0)
+        self.cores.values().map(|c| c.election.commit_index()).max().unwrap_or(0)
     }
 }
 
--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -116,7 +116,7 @@
             }
             // A copy made whole under a new mark: placement may count it now.
             if lead.whole.insert(from, disk_id) != Some(disk_id) {
-                self.link.hurry(now);
+                self.link.pull_now(now);
             }
             return;
         }
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -113,7 +113,7 @@
             .map(|(partition, _)| partition.clone())
             .collect();
         for partition in due {
-            if self.link.may(&Duty::Lead(partition.clone()), now).is_some() {
+            if self.link.active_epoch(&Duty::Lead(partition.clone()), now).is_some() {
                 self.maintain_backups(&partition, now);
             }
         }
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -48,7 +48,7 @@
         self.mark_all_for_release(now);
         let waited = now.since(since);
         let idle = self.parts.values().all(|part| part.own.is_none());
-        let answered = waited >= ANSWER_DELIVERY_TIME && !self.link.due(now);
+        let answered = waited >= ANSWER_DELIVERY_TIME && !self.link.is_pull_due(now);
         let kept = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
         let free = match seats {
             SeatMoves::Unknown => waited > PLACEMENT_ANSWER_TIMEOUT,
@@ -65,7 +65,7 @@
     fn has_other_leaders(&self) -> bool {
         self.released_grants.keys().all(|duty| {
             let Duty::Lead(partition) = duty else { return true };
-            self.link.places.get(partition).is_some_and(|location| location.leader != self.startup.me.id)
+            self.link.partition_locations.get(partition).is_some_and(|location| location.leader != self.startup.me.id)
         })
     }
 }
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -88,7 +88,7 @@
 
     /// Notes duties that have something due and a holder that we do not hear.
     fn track_unserved_duties(&mut self, now: Time) {
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return self.unserved_since.clear();
         }
         let (queues, _) = self.ready_queues(now);
