--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -28,17 +28,17 @@
     Startup {
         me,
         seeds: vec![daemon("placement-1")],
-        pull: Span::millis(400),
-        terms: LeaseTerms::default(),
-        bytes_max: 1 << 20,
-        disk_max: 1 << 20,
-        cache_max: 1 << 20,
-        count_max: 1000,
-        backoff: Span::millis(200),
-        backoff_max: Span::secs(5),
-        word: Span::millis(2100),
-        wall: 0,
-        seed: 1,
+        pull_interval: Span::millis(400),
+        lease_terms: LeaseTerms::default(),
+        max_body_bytes: 1 << 20,
+        max_disk_bytes: 1 << 20,
+        max_cached_bytes: 1 << 20,
+        max_messages: 1000,
+        min_backoff: Span::millis(200),
+        max_backoff: Span::secs(5),
+        max_answer_delay: Span::millis(2100),
+        started_unix_micros: 0,
+        rng_seed: 1,
     }
 }
 
@@ -126,12 +126,12 @@
                 partition: place(),
                 epoch: EPOCH,
                 expected: Some((Epoch::ZERO, 0)),
-                disk_id: store.mark,
+                disk_id: store.disk_id,
                 must_fetch: false,
             };
             let mut has_power = self.deliver(directory, &folder, &mut store, lag);
             while has_power {
-                let first = store.parts[&place()].n + 1;
+                let first = store.partitions[&place()].n + 1;
                 for _ in 0..1 + random.below(3) {
                     let op = self.next_op(random);
                     self.ops.push(op);
@@ -151,9 +151,9 @@
     /// operations beyond those are removed from the history.
     fn check_state_read(&mut self, store: &Store) -> Result<(), TestCaseError> {
         if let Some(disk_id) = self.disk_id {
-            prop_assert_eq!(store.mark, disk_id, "{} operations were acknowledged", self.acknowledged);
+            prop_assert_eq!(store.disk_id, disk_id, "{} operations were acknowledged", self.acknowledged);
         }
-        let part = store.parts.get(&place());
+        let part = store.partitions.get(&place());
         let n = part.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
         prop_assert!(n >= self.acknowledged, "{n} operations are read back of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -4,14 +4,14 @@
 impl Store {
     /// Sends each backup what it lacks of the latest ops.
     pub(super) fn replicate(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         for backup in lead.backups.keys().cloned().collect::<Vec<_>>() {
             self.replicate_to(partition, &backup, now);
         }
     }
 
     fn replicate_to(&mut self, partition: &PartitionId, backup: &Daemon, now: Time) {
-        let Some(part) = self.parts.get_mut(partition) else { return };
+        let Some(part) = self.partitions.get_mut(partition) else { return };
         let Some(lead) = part.own.as_mut() else { return };
         let top = part.n;
         let epoch = lead.epoch;
@@ -49,10 +49,10 @@
         if self.is_disk_stuck() {
             return;
         }
-        let part = self.parts.entry(partition.clone()).or_default();
+        let part = self.partitions.entry(partition.clone()).or_default();
         if epoch < part.promised {
             let promised = part.promised;
-            self.counts.fenced += 1;
+            self.counts.fenced_requests += 1;
             return self.send(&from, PeerMessage::FenceRefused { partition, promised_epoch: promised });
         }
         if part.installed != epoch || first > part.n + 1 {
@@ -88,7 +88,7 @@
         disk_id: IncarnationId,
         now: Time,
     ) {
-        let Some(part) = self.parts.get_mut(&partition) else { return };
+        let Some(part) = self.partitions.get_mut(&partition) else { return };
         let top = part.n;
         let Some(lead) = part.own.as_mut() else { return };
         if lead.epoch != epoch || up_to > top {
@@ -135,7 +135,7 @@
         last_op: u64,
         now: Time,
     ) {
-        let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) else { return };
         if lead.epoch != epoch {
             return;
         }
@@ -155,7 +155,7 @@
     }
 
     pub(super) fn on_own_ops_synced(&mut self, partition: &PartitionId, epoch: Epoch, up_to: u64, now: Time) {
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         if lead.epoch != epoch {
             return;
         }
@@ -169,7 +169,7 @@
     pub(super) fn advance_commit(&mut self, partition: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         if !lead.adopted {
             return;
         }
@@ -188,7 +188,7 @@
         if lead.phase == Phase::Spreading {
             self.set_phase(partition, Phase::Serving, now);
         }
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         lead.committed = lead.committed.max(committable.min(lead.durable));
         let still_waiting = lead.waits.split_off(&(lead.committed + 1));
         let committed = std::mem::replace(&mut lead.waits, still_waiting);
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -9,7 +9,7 @@
         if self.standstill.is_catching_up(now) {
             return;
         }
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let mut over = Vec::new();
         for (seq, flight) in lead.lane.overdue(now) {
             lead.overdue.lapsed(flight.attempt, flight.end);
@@ -17,7 +17,7 @@
             over.extend(lead.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
         }
         for (id, flight) in over {
-            self.counts.lapsed += 1;
+            self.counts.unreported_attempts += 1;
             self.log(LogEvent::AttemptEndUnreported, format!("{partition} {id} attempt {} at {}", flight.attempt, flight.to));
             self.on_attempt_expired(partition, &id, now);
         }
@@ -27,7 +27,7 @@
     /// work while its work is not over, for a call-back while one is owed. Any
     /// other must stand in no line.
     pub(super) fn may_dispatch(&mut self, partition: &PartitionId, id: &MessageId, is_callback: bool) -> bool {
-        let stage = self.parts.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.stage);
+        let stage = self.partitions.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.stage);
         let fits = match stage {
             Some(Stage::Pending) => !is_callback,
             Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => is_callback,
@@ -36,7 +36,7 @@
         if fits {
             return true;
         }
-        self.counts.ended_handed_out += 1;
+        self.counts.ended_messages_dequeued += 1;
         self.log(LogEvent::EndedMessageDequeued, format!("{partition} {id}"));
         false
     }
@@ -44,17 +44,17 @@
     /// An open message that nothing would ever run again: it waits from now on,
     /// or until the rest at the opening is over.
     pub(super) fn requeue_stranded(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
-        let Some(part) = self.parts.get_mut(partition) else { return };
+        let Some(part) = self.partitions.get_mut(partition) else { return };
         let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(id)) else { return };
         lead.lane.ids.insert(record.head.seq, id.clone());
         lead.lane.post(&record.head.route, &record.head.key, lead.quiet.max(now), record.head.seq);
-        self.counts.stranded += 1;
+        self.counts.stranded_requeued += 1;
         self.log(LogEvent::StrandedMessageRequeued, format!("{partition} {id}"));
     }
 
     /// Judges a success of an attempt that is not under way here.
     pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
-        let Some(part) = self.parts.get_mut(&result.partition) else { return };
+        let Some(part) = self.partitions.get_mut(&result.partition) else { return };
         let Some(lead) = part.own.as_mut() else { return };
         let unread = self.standstill.unread(now);
         let Some(late) = lead.overdue.judge(result, lead.epoch, lead.quiet, unread, now) else { return };
@@ -67,11 +67,11 @@
         );
         let event = match late.is_violation() {
             true => {
-                self.counts.outlived += 1;
+                self.counts.overrun_attempts += 1;
                 LogEvent::AttemptOverran
             }
             false => {
-                self.counts.told_late += 1;
+                self.counts.late_successes += 1;
                 LogEvent::LateSuccess
             }
         };
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -26,7 +26,7 @@
         let zone = self.startup.me.zone.clone();
         let is_far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
         let all = self.backup_candidates(partition, &zones);
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let needed = lead.backups_needed();
         if lost.is_some_and(|lost| !is_far(lost)) {
             lead.near_drawn = now;
@@ -58,7 +58,7 @@
 
     /// The peers that may be backups of a partition, the fittest first.
     fn backup_candidates(&self, partition: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return Vec::new() };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
         let leaves = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
         // One backup has to be in another zone; of several, any may be near.
@@ -88,7 +88,7 @@
     /// takes its part at once.
     pub(super) fn on_peer_disconnected(&mut self, peer: &Daemon, now: Time) {
         let waits = |part: &Part| part.own.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.waits.is_empty());
-        let affected: Vec<PartitionId> = self.parts.iter().filter(|(_, part)| waits(part)).map(|(k, _)| k.clone()).collect();
+        let affected: Vec<PartitionId> = self.partitions.iter().filter(|(_, part)| waits(part)).map(|(k, _)| k.clone()).collect();
         for partition in affected {
             self.choose_backups(&partition, Some(peer), now);
         }
@@ -99,7 +99,7 @@
         if self.standstill.is_catching_up(now) {
             return;
         }
-        let longest = self.startup.terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
+        let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
         let silent = |lead: &LeaderState| {
             let patience = Patience { least: lead.patience_least.now(now), longest };
             let is_silent =
@@ -107,7 +107,7 @@
             !lead.waits.is_empty() && lead.backups.iter().any(|(backup, since)| is_silent(backup, since))
         };
         let due: Vec<PartitionId> = self
-            .parts
+            .partitions
             .iter()
             .filter(|(_, part)| part.own.as_ref().is_some_and(silent))
             .map(|(partition, _)| partition.clone())
@@ -121,7 +121,7 @@
 
     /// Sees to the backups, and to seats whose copy does not count yet.
     pub(super) fn maintain_backups(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         if lead.backups.is_empty() {
             self.choose_backups(partition, None, now);
         }
@@ -133,7 +133,7 @@
         }
         self.track_missing_copies(partition, now);
         self.to_replicate.insert(partition.clone());
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         if lost.is_some() || lead.backups.len() < lead.backups_needed() {
             return self.choose_backups(partition, lost.as_ref(), now);
         }
@@ -149,7 +149,7 @@
     /// sealed: then nothing has to be copied.
     fn rebalance_backup(&mut self, partition: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         if lead.phase != Phase::Serving || lead.backups_needed() != 1 || lead.spread == Spread::Done {
             return;
         }
@@ -157,7 +157,7 @@
             Spread::Open => self.backup_candidates(partition, &zones).into_iter().next(),
             _ => None,
         };
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         match lead.spread.clone() {
             Spread::Open if now.since(lead.opened) > BACKUP_REBALANCE_WINDOW => lead.spread = Spread::Done,
             Spread::Open => {
@@ -194,7 +194,7 @@
         let here = self.startup.me.zone.clone();
         let near = |d: &Daemon| zones.get(d).is_some_and(|z| *z == here);
         let candidates = self.backup_candidates(partition, &zones);
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         if lead.phase != Phase::Serving || lead.backups_needed() < 2 {
             return;
         }
@@ -215,12 +215,12 @@
     /// and has not moved for a while, it leaves, or it came back without its
     /// disk, so that nothing it holds counts until its new folder is seated.
     fn check_backups(&mut self, partition: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
-        let longest = self.startup.terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
+        let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
         let still = self.standstill.is_catching_up(now);
         let (members, here) = (&self.link.members, &self.startup.me.zone);
         let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *here);
         let (mut to_copy, mut lost) = (Vec::new(), None);
-        let Some(part) = self.parts.get_mut(partition) else { return (to_copy, lost) };
+        let Some(part) = self.partitions.get_mut(partition) else { return (to_copy, lost) };
         let Some(lead) = part.own.as_mut() else { return (to_copy, lost) };
         let top = part.n;
         let patience = Patience { least: lead.patience_least.now(now), longest };
@@ -253,7 +253,7 @@
     /// sees to them too: one of them may be the only store there.
     fn seats_to_copy_to(&mut self, partition: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return to_copy };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return to_copy };
         if !lead.is_whole() {
             return to_copy;
         }
@@ -282,7 +282,7 @@
 
     /// Notes since when copies are lacking, and tells of it when it lasts.
     fn track_missing_copies(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         let (short, lacking) = (lead.short, self.seats_without_copy(lead));
         let names: Vec<String> = lacking.iter().map(Daemon::to_string).collect();
         let next = match short {
@@ -297,14 +297,14 @@
         if was_told && next.is_none() {
             self.log(LogEvent::CopiesRestored, partition.to_string());
         }
-        if let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) {
+        if let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) {
             lead.short = next;
         }
     }
 
     /// Stores of the set that were never fenced may have come back since.
     fn fence_unfenced(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.parts.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let me = &self.startup.me.id;
         let unseen: Vec<Daemon> =
             lead.set.iter().map(|seat| seat.0.clone()).filter(|d| d != me && !lead.fences.contains_key(d)).collect();
@@ -320,7 +320,7 @@
 
     /// Tells a peer that it lacks this epoch, so that it asks for a copy.
     fn offer_copy(&mut self, partition: &PartitionId, peer: Daemon) {
-        let Some(lead) = self.parts.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         let disk_id = lead.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
         let must_fetch = lead.peers.get(&peer).is_some_and(|s| s.short);
         let message =
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -22,7 +22,7 @@
     /// Only a replica fenced at this very epoch, or its leader once that is
     /// whole, hands out.
     fn may_send_copies(&self, partition: &PartitionId, epoch: Epoch) -> bool {
-        let Some(part) = self.parts.get(partition) else { return false };
+        let Some(part) = self.partitions.get(partition) else { return false };
         part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
     }
 
@@ -31,7 +31,7 @@
         if !self.may_send_copies(&partition, epoch) {
             return;
         }
-        let snapshot = self.parts[&partition].digest();
+        let snapshot = self.partitions[&partition].digest();
         self.send(&from, PeerMessage::WholeCopy { partition, epoch, snapshot });
     }
 
@@ -41,7 +41,8 @@
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
+        let peer =
+            self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
             peer.heard = now;
         }
@@ -67,7 +68,8 @@
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
+        let peer =
+            self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
             peer.heard = now;
         }
@@ -81,8 +83,8 @@
             return;
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
-        let part = Box::new(self.parts[&partition].copy_part(request.position, bodies.here));
-        if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+        let part = Box::new(self.partitions[&partition].copy_part(request.position, bodies.here));
+        if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
             lead.note_copying(from.clone(), part.last_op, now);
         }
         self.send(&from, PeerMessage::CopyPart { partition, epoch, part });
@@ -94,7 +96,7 @@
         let mut bodies = Bodies::default();
         let mut size = 0;
         for id in ids {
-            let Some(len) = self.parts[partition].recs.get(id).map(|record| record.head.len as usize).filter(|len| *len > 0)
+            let Some(len) = self.partitions[partition].recs.get(id).map(|record| record.head.len as usize).filter(|len| *len > 0)
             else {
                 continue;
             };
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -47,7 +47,7 @@
         let Some(Departure { since, seats }) = self.departure else { return };
         self.mark_all_for_release(now);
         let waited = now.since(since);
-        let idle = self.parts.values().all(|part| part.own.is_none());
+        let idle = self.partitions.values().all(|part| part.own.is_none());
         let answered = waited >= ANSWER_DELIVERY_TIME && !self.link.is_pull_due(now);
         let kept = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
         let free = match seats {
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -35,13 +35,13 @@
             return;
         }
         let spared: Vec<PartitionId> = self
-            .parts
+            .partitions
             .iter()
             .filter(|(_, part)| part.own.as_ref().is_some_and(|lead| self.has_majority_without_this_store(&lead.set)))
             .map(|(partition, _)| partition.clone())
             .collect();
         for partition in spared {
-            if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
                 lead.shed.get_or_insert(now);
             }
         }
@@ -52,6 +52,6 @@
     /// is still live for one given up.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
         let leads = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
-        self.must_release_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
+        self.must_release_partitions(now) && !leads && self.partitions.values().all(|part| part.own.is_none())
     }
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -97,13 +97,13 @@
     /// may have run.
     fn end_attempts_of_earlier_incarnations(&mut self, from: &Daemon, incarnation: IncarnationId, now: Time) {
         let mut over = Vec::new();
-        for (partition, part) in &self.parts {
+        for (partition, part) in &self.partitions {
             let Some(lead) = part.own.as_ref() else { continue };
             let stale = lead.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != incarnation);
             over.extend(stale.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.lane.ids.get(seq)?.clone()))));
         }
         for (partition, seq, id) in over {
-            if let Some(lead) = self.parts.get_mut(&partition).and_then(|part| part.own.as_mut()) {
+            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
                 lead.lane.flights.remove(&seq);
             }
             self.retry_routed(&partition, &id, AttemptOutcome::Unknown, now);
@@ -122,7 +122,7 @@
     ) {
         let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         for (partition, epoch) in partitions {
-            let Some(part) = self.parts.get_mut(partition) else { continue };
+            let Some(part) = self.partitions.get_mut(partition) else { continue };
             let Some(lead) = part.own.as_mut() else { continue };
             if lead.epoch != *epoch || lead.phase != Phase::Serving || lead.quiet <= now {
                 continue;
@@ -167,7 +167,7 @@
         }
         let mut in_flight: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
         let mut destinations: BTreeMap<Destination, Vec<ReadyQueue>> = BTreeMap::new();
-        for (partition, part) in &self.parts {
+        for (partition, part) in &self.partitions {
             let Some(lead) = part.own.as_ref() else { continue };
             for f in lead.lane.flights.values() {
                 if let Some(g) = &f.goal {
@@ -206,7 +206,7 @@
                 let Some((to, requested_at, incarnation)) = self.choose_delivery(&destination, &in_flight, now) else { break };
                 let Some(offer) = self.take_routed(&queue, &destination, &to, incarnation, now) else { continue };
                 *in_flight.entry((destination.clone(), to.clone())).or_default() += 1;
-                self.counts.offers += 1;
+                self.counts.attempts_offered += 1;
                 offers.entry(to).or_insert((requested_at, Vec::new())).1.push(offer);
                 // Lines of one priority take turns.
                 let at = queues.iter().position(|q| q.priority == queue.priority).unwrap_or(queues.len());
@@ -258,12 +258,12 @@
         // What can still begin in the time wanted goes before what is late
         // already; but each fourth turn is the oldest's.
         let start_target = self.link.rules.routes.get(&queue.route_or_address).map_or(Span::ZERO, |x| x.start);
-        let oldest_first = start_target == Span::ZERO || self.counts.offers.is_multiple_of(4);
+        let oldest_first = start_target == Span::ZERO || self.counts.attempts_offered.is_multiple_of(4);
         let on_time_since = Time(now.0.saturating_sub(start_target.0));
         let partition = &queue.partition;
         let mut reads = 0;
         loop {
-            let part = self.parts.get_mut(partition)?;
+            let part = self.partitions.get_mut(partition)?;
             let lead = part.own.as_mut()?;
             let (due, seq) = match is_callback {
                 true => lead.lane.pop(Some(&queue.route_or_address), now)?,
@@ -281,7 +281,7 @@
             if !self.may_dispatch(partition, &id, is_callback) {
                 continue;
             }
-            let record = self.parts.get(partition)?.recs.get(&id)?;
+            let record = self.partitions.get(partition)?.recs.get(&id)?;
             if !is_callback && max_age.is_some_and(|w| now.since(record.taken) > w) {
                 let next = stage_after_work(record, Outcome::Expired);
                 self.set_stage(partition, &id, next, None, now);
@@ -290,7 +290,7 @@
             let (header, body) = match self.header_and_body(partition, &id, is_callback) {
                 Ok(x) => x,
                 Err(is_corrupt) => {
-                    let part = self.parts.get_mut(partition)?;
+                    let part = self.partitions.get_mut(partition)?;
                     let key = part.recs.get(&id).map(|record| record.head.key.clone()).unwrap_or_default();
                     part.own.as_mut()?.lane.post(&queue.route_or_address, &key, now + BODY_READ_RETRY_DELAY, seq);
                     if is_corrupt {
@@ -305,7 +305,7 @@
                     continue;
                 }
             };
-            let part = self.parts.get_mut(partition)?;
+            let part = self.partitions.get_mut(partition)?;
             let stage = part.recs.get(&id)?.stage;
             let lead = part.own.as_mut()?;
             lead.attempts += 1;
@@ -346,7 +346,7 @@
         is_callback: bool,
     ) -> Result<(MessageHeader, Bytes), bool> {
         let header =
-            self.parts.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.head.clone()).ok_or(true)?;
+            self.partitions.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.head.clone()).ok_or(true)?;
         if is_callback {
             return Ok((MessageHeader { len: 0, crc: crc32(b""), ..header }, Bytes::new()));
         }
@@ -360,7 +360,7 @@
     /// An attempt's hard end has passed without a word of it.
     pub(super) fn on_attempt_expired(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
         let routed =
-            self.parts.get(partition).and_then(|part| part.recs.get(id)).is_some_and(|record| !record.head.route.is_empty());
+            self.partitions.get(partition).and_then(|part| part.recs.get(id)).is_some_and(|record| !record.head.route.is_empty());
         match routed {
             true => self.retry_routed(partition, id, AttemptOutcome::Unknown, now),
             false => self.retry_or_give_up(partition, id, true, now),
@@ -371,7 +371,7 @@
     /// has said so often enough that it failed.
     pub(super) fn retry_routed(&mut self, partition: &PartitionId, id: &MessageId, outcome: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
-        let Some(part) = self.parts.get_mut(partition) else { return };
+        let Some(part) = self.partitions.get_mut(partition) else { return };
         let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get_mut(id)) else { return };
         let seq = record.head.seq;
         if lead.won.contains(&seq) {
@@ -420,7 +420,7 @@
     pub(super) fn expire_routed(&mut self, now: Time) {
         let rules = &self.link.rules;
         let mut stale: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
-        for (partition, part) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
+        for (partition, part) in self.partitions.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
             let Some(lead) = part.own.as_ref() else { continue };
             for (name, due) in &lead.lane.posts {
                 let route = rules.routes.get(name);
@@ -435,7 +435,7 @@
             }
         }
         for (partition, id, next) in stale {
-            if let Some(part) = self.parts.get_mut(&partition) {
+            if let Some(part) = self.partitions.get_mut(&partition) {
                 let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(&id)) else { continue };
                 if let Some(due) = lead.lane.posts.get_mut(&record.head.route) {
                     due.take(record.head.seq);
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -13,10 +13,10 @@
     /// time or their worth, and the oldest files.
     pub(super) fn run_maintenance(&mut self, now: Time) {
         let retain = self.link.rules.retain;
-        let led: Vec<PartitionId> = self.parts.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
+        let led: Vec<PartitionId> = self.partitions.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
         for partition in led {
             self.expire_overdue_attempts(&partition, now);
-            let Some(part) = self.parts.get_mut(&partition) else { continue };
+            let Some(part) = self.partitions.get_mut(&partition) else { continue };
             let Some(lead) = part.own.as_mut() else { continue };
             // Kept-back successes whose other attempts are over by now.
             let (quiet, lane) = (lead.quiet, &lead.lane);
@@ -73,7 +73,7 @@
         if retain == Span::ZERO {
             return;
         }
-        for (partition, part) in self.parts.iter_mut().filter(|(_, part)| part.own.is_none() && part.fetch.is_none()) {
+        for (partition, part) in self.partitions.iter_mut().filter(|(_, part)| part.own.is_none() && part.fetch.is_none()) {
             let past = |record: &Rec| {
                 matches!(record.stage, Stage::Ended(_)) && now.since(record.ended) > retain + UNLED_RETENTION_MARGIN
             };
@@ -116,12 +116,12 @@
     /// that it can go; what is not in memory is read back for the next time.
     fn rewrite_oldest_file(&mut self) {
         // A record's lines take some room beside its bytes.
-        let count: usize = self.parts.values().map(|part| part.recs.len()).sum();
+        let count: usize = self.partitions.values().map(|part| part.recs.len()).sum();
         let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
         let Some((first, last)) = self.ledger.sparse(live) else { return };
         let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
-        for (partition, part) in &self.parts {
+        for (partition, part) in &self.partitions {
             for record in part.recs.values().filter(|record| first <= record.home && record.home <= last) {
                 size += u64::from(record.head.len) + 256;
                 if size > MAX_REWRITE_BYTES {
--- a/crates/queue/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -57,7 +57,7 @@
     /// Told that it lacks every partition.
     fn new() -> Replica {
         let me = Member { disk_id: IncarnationId(2), ..member("store-2", "z2") };
-        let startup = Startup { cache_max: BOUND, ..startup(me) };
+        let startup = Startup { max_cached_bytes: BOUND, ..startup(me) };
         let (core, _) = Store::new(startup, &Vec::new(), IncarnationId(2), START);
         let mut replica = Replica { core, now: START, questions: VecDeque::new(), most: 0 };
         replica.step(Event::Saved(1));
@@ -84,7 +84,7 @@
                 _ => {}
             }
         }
-        let copies = self.core.parts.values().filter_map(|part| part.fetch.as_ref());
+        let copies = self.core.partitions.values().filter_map(|part| part.fetch.as_ref());
         self.most = self.most.max(copies.map(|fetch| fetch.copy.brought()).sum());
     }
 
@@ -107,7 +107,7 @@
     }
 
     fn whole(&self) -> Vec<u32> {
-        let is_whole = |part: &&u32| self.core.parts[&place(**part)].installed == EPOCH;
+        let is_whole = |part: &&u32| self.core.partitions[&place(**part)].installed == EPOCH;
         (0..PARTITIONS).collect::<Vec<_>>().iter().filter(is_whole).copied().collect()
     }
 }
--- a/crates/queue/tests/copies.rs
+++ b/crates/queue/tests/copies.rs
@@ -67,7 +67,7 @@
     }
 
     fn part(&self) -> &dw_queue::part::Part {
-        &self.core.parts[&place()]
+        &self.core.partitions[&place()]
     }
 }
 
--- a/crates/queue/tests/frozen.rs
+++ b/crates/queue/tests/frozen.rs
@@ -48,8 +48,8 @@
     pair.reach(FIRST, pair.now);
     pair.run(Span::secs(1));
     assert_eq!(pair.offers.len(), 1, "it was handed out again");
-    assert_eq!(pair.stores[0].counts.outlived, 0, "an alarm that lies");
-    assert_eq!(pair.stores[0].counts.lapsed, 0, "its word lay unread");
+    assert_eq!(pair.stores[0].counts.overrun_attempts, 0, "an alarm that lies");
+    assert_eq!(pair.stores[0].counts.unreported_attempts, 0, "its word lay unread");
 }
 
 /// The alarm still tells the truth: without a standstill, and when the words
@@ -62,9 +62,9 @@
         pair.now += frozen;
         pair.step(0, Event::Tick);
         pair.run(Span::secs(4));
-        assert_eq!(pair.stores[0].counts.lapsed, 1, "after {frozen:?}");
+        assert_eq!(pair.stores[0].counts.unreported_attempts, 1, "after {frozen:?}");
         let word = success(&pair);
         pair.step(0, word);
-        assert_eq!(pair.stores[0].counts.outlived, 1, "after {frozen:?}");
+        assert_eq!(pair.stores[0].counts.overrun_attempts, 1, "after {frozen:?}");
     }
 }
--- a/crates/queue/tests/hand_over.rs
+++ b/crates/queue/tests/hand_over.rs
@@ -41,7 +41,7 @@
 }
 
 fn stage_at(fleet: &Fleet, n: u64) -> Stage {
-    fleet.stores[&store(n)].parts[&place()].recs[&id()].stage
+    fleet.stores[&store(n)].partitions[&place()].recs[&id()].stage
 }
 
 /// The stage that callers are shown by store `n`.
@@ -121,7 +121,7 @@
     fleet.carry(1, 1);
     room(&mut fleet, 1);
     assert_eq!(fleet.offers.len(), 1);
-    while fleet.stores[&store(1)].counts.lapsed == 0 {
+    while fleet.stores[&store(1)].counts.unreported_attempts == 0 {
         fleet.run(Span::millis(20));
         assert!(fleet.now < Time(30_000_000), "it never lapses");
     }
@@ -131,6 +131,6 @@
     fleet.now += Span::millis(400);
     tell_success(&mut fleet, 1);
     assert_eq!(fleet.offers.len(), 1);
-    assert_eq!(fleet.stores[&store(1)].counts.ended_handed_out, 0);
+    assert_eq!(fleet.stores[&store(1)].counts.ended_messages_dequeued, 0);
     assert_eq!(stage_at(&fleet, 1), Stage::Ended(Outcome::Succeeded));
 }
--- a/crates/queue/tests/loaded/mod.rs
+++ b/crates/queue/tests/loaded/mod.rs
@@ -93,7 +93,7 @@
         }
         all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
-        let own = all.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        let own = all.cores[&daemon(LEADER)].partitions[&place()].own.as_ref().expect("a leader");
         all.replica = own.backups.keys().next().expect("a replica").clone();
         for _ in 0..count {
             all.hand_in();
@@ -107,11 +107,11 @@
     fn start_empty(&mut self, name: &str, mark: IncarnationId) {
         let zone = self.zone_of(name);
         let startup = Startup {
-            pull: Span::millis(300),
-            bytes_max: 1 << 30,
-            disk_max: 1 << 30,
-            cache_max: 1 << 30,
-            count_max: 1 << 20,
+            pull_interval: Span::millis(300),
+            max_body_bytes: 1 << 30,
+            max_disk_bytes: 1 << 30,
+            max_cached_bytes: 1 << 30,
+            max_messages: 1 << 20,
             ..startup(member(name, &zone))
         };
         let (core, out) = Store::new(startup, &Vec::new(), mark, self.now);
@@ -126,7 +126,7 @@
 
     /// Which peers get every operation of the leader.
     pub fn backups(&self) -> Vec<Daemon> {
-        let own = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        let own = self.cores[&daemon(LEADER)].partitions[&place()].own.as_ref().expect("a leader");
         own.backups.keys().cloned().collect()
     }
 
@@ -144,7 +144,7 @@
     /// The fewest stores that hold a message that was accepted, and the fewest
     /// zones in which they stand.
     pub fn fewest_holders(&self) -> (usize, usize) {
-        let holds = |id: &MessageId, core: &Store| core.parts.get(&place()).is_some_and(|part| part.recs.contains_key(id));
+        let holds = |id: &MessageId, core: &Store| core.partitions.get(&place()).is_some_and(|part| part.recs.contains_key(id));
         let holders = |id: &MessageId| -> Vec<String> {
             let all = self.cores.iter().filter(|(_, core)| holds(id, core));
             all.map(|(store, _)| self.zone_of(store.as_str())).collect()
@@ -169,7 +169,7 @@
 
     /// Placement names the folder that a store has now.
     pub fn seat(&mut self, store: &Daemon) {
-        let mark = self.cores[store].mark;
+        let mark = self.cores[store].disk_id;
         let seat = self.set.iter_mut().find(|seat| seat.0 == *store).expect("a seat");
         seat.1 = mark;
     }
@@ -195,7 +195,7 @@
         self.queue.clear();
         let id = self.under_way.pop_front().expect("one under way").header.id;
         for core in self.cores.values_mut() {
-            let Some(record) = core.parts.get_mut(&place()).and_then(|part| part.recs.get_mut(&id)) else { continue };
+            let Some(record) = core.partitions.get_mut(&place()).and_then(|part| part.recs.get_mut(&id)) else { continue };
             record.body = Some(Bytes::from_static(b"altered"));
         }
     }
@@ -224,11 +224,11 @@
     /// By the leader's own word: the copy counts, or may be counted.
     fn is_whole(&self) -> bool {
         let replica = &self.cores[&self.replica];
-        let Some(own) = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref() else { return false };
-        let told = own.whole.get(&self.replica) == Some(&replica.mark);
+        let Some(own) = self.cores[&daemon(LEADER)].partitions[&place()].own.as_ref() else { return false };
+        let told = own.whole.get(&self.replica) == Some(&replica.disk_id);
         let have = own.peers.get(&self.replica).and_then(|s| s.have);
-        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].parts[&place()].n);
-        level && (told || own.counts(&self.replica, replica.mark))
+        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].partitions[&place()].n);
+        level && (told || own.counts(&self.replica, replica.disk_id))
     }
 
     pub fn notes_of(&self, note: LogEvent) -> usize {
@@ -239,11 +239,11 @@
     pub fn assert_same(&mut self) {
         self.busy = false;
         for (id, mark) in &mut self.set {
-            *mark = self.cores[id].mark;
+            *mark = self.cores[id].disk_id;
         }
         self.run(Span::secs(3));
         let records = |name: &str| -> Vec<(MessageHeader, Stage, Option<Bytes>)> {
-            let part = &self.cores[&daemon(name)].parts[&place()];
+            let part = &self.cores[&daemon(name)].partitions[&place()];
             part.recs.values().map(|r| (r.head.clone(), r.stage, r.bytes())).collect()
         };
         let (kept, copied) = (records(LEADER), records(self.replica.as_str()));
@@ -318,7 +318,7 @@
         let version = Version { term: TERM, count: 1 };
         let members = self.cores.iter().map(|(id, core)| {
             let zone = self.zone_of(id.as_str());
-            Member { disk_id: core.mark, ..member(id.as_str(), &zone) }
+            Member { disk_id: core.disk_id, ..member(id.as_str(), &zone) }
         });
         let placing = PartitionLocation { leader: daemon(LEADER), epoch: EPOCH };
         let items = vec![
--- a/crates/queue/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -70,9 +70,9 @@
     /// Starts a store on an empty folder.
     fn start_empty(&mut self, name: &str, mark: IncarnationId) {
         let settings = Startup {
-            pull: Span::millis(300),
-            word: Span::millis(500),
-            seed: hash_of(name.as_bytes()),
+            pull_interval: Span::millis(300),
+            max_answer_delay: Span::millis(500),
+            rng_seed: hash_of(name.as_bytes()),
             ..startup(in_own_zone(name))
         };
         let none: Vec<(String, Bytes)> = Vec::new();
@@ -82,10 +82,10 @@
         self.obey(&daemon(name), out);
     }
     fn mark(&self, name: &str) -> IncarnationId {
-        self.cores[&daemon(name)].mark
+        self.cores[&daemon(name)].disk_id
     }
     fn leader(&self) -> &LeaderState {
-        self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader")
+        self.cores[&daemon(LEADER)].partitions[&place()].own.as_ref().expect("a leader")
     }
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
@@ -105,7 +105,7 @@
     }
     /// Answers a pull as placement does: members, and the leader's grant.
     fn answer(&mut self, to: &Daemon, asked: Time, report: Option<Report>) {
-        let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.mark, ..in_own_zone(d.as_str()) }).collect();
+        let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.disk_id, ..in_own_zone(d.as_str()) }).collect();
         let version = Version { term: Term(1), count: 1 };
         let rules = json_of_rules();
         let listed = Version { count: self.starts, ..version };
@@ -194,7 +194,7 @@
         self.report.replacement_numbers.contains(&(place(), number)) && self.report.complete_copies.contains(&whole)
     }
     fn has(&self, name: &str) -> usize {
-        self.cores[&daemon(name)].parts.get(&place()).map_or(0, |p| p.recs.len())
+        self.cores[&daemon(name)].partitions.get(&place()).map_or(0, |p| p.recs.len())
     }
     fn replace(&mut self, number: u64) {
         self.swap = Some((daemon(LEAVER), daemon(JOINER), number));
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -41,7 +41,7 @@
         for name in [LEADER, FAST, SLOW] {
             let me = in_own_zone(name);
             let mark = me.disk_id;
-            let settings = Startup { pull: Span::millis(300), seed: mark.0, ..startup(me) };
+            let settings = Startup { pull_interval: Span::millis(300), rng_seed: mark.0, ..startup(me) };
             let (core, out) = Store::new(settings, &Vec::new(), mark, stores.now);
             stores.cores.insert(daemon(name), core);
             stores.obey(&daemon(name), out);
@@ -118,7 +118,7 @@
     }
 
     fn leader_states(&self) -> Vec<&LeaderState> {
-        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
+        self.cores[&daemon(LEADER)].partitions.values().filter_map(|part| part.own.as_ref()).collect()
     }
 
     /// How many partitions have their second copy at each store.
--- a/crates/queue/tests/stranded.rs
+++ b/crates/queue/tests/stranded.rs
@@ -9,10 +9,10 @@
     let mut pair = Pair::new();
     pair.carry();
     pair.run(Span::millis(100));
-    let part = pair.stores[0].parts.get_mut(&place()).unwrap();
+    let part = pair.stores[0].partitions.get_mut(&place()).unwrap();
     part.own.as_mut().unwrap().lane.posts.clear();
     pair.run(Span::millis(1200));
-    assert_eq!(pair.stores[0].counts.stranded, 1);
+    assert_eq!(pair.stores[0].counts.stranded_requeued, 1);
     pair.reach(FIRST, pair.now);
     pair.run(Span::millis(100));
     assert_eq!(pair.offers.len(), 1);
@@ -27,5 +27,5 @@
     pair.run(Span::millis(1200));
     pair.reach(FIRST, pair.now);
     pair.run(Span::millis(1200));
-    assert_eq!((pair.offers.len(), pair.stores[0].counts.stranded), (1, 0));
+    assert_eq!((pair.offers.len(), pair.stores[0].counts.stranded_requeued), (1, 0));
 }
--- a/crates/queue/tests/trio/mod.rs
+++ b/crates/queue/tests/trio/mod.rs
@@ -22,7 +22,7 @@
 }
 
 pub fn settings_of(n: u64) -> Startup {
-    Startup { seed: n, ..startup(numbered(n)) }
+    Startup { rng_seed: n, ..startup(numbered(n)) }
 }
 
 #[derive(Default)]
@@ -78,7 +78,7 @@
     }
 
     pub fn own(&self, n: u64) -> Option<&LeaderState> {
-        self.stores[&store(n)].parts.get(&place()).and_then(|part| part.own.as_ref())
+        self.stores[&store(n)].partitions.get(&place()).and_then(|part| part.own.as_ref())
     }
 
     pub fn phase(&self, n: u64) -> Option<Phase> {
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -155,17 +155,17 @@
                 let s = StoreStartup {
                     me,
                     seeds,
-                    pull,
-                    terms,
-                    bytes_max: b.bytes,
-                    disk_max: b.disk,
-                    cache_max: b.cache,
-                    count_max: b.messages,
-                    backoff: Span::millis(times.backoff),
-                    backoff_max: Span::millis(times.backoff_max),
-                    seed,
-                    word: Span::millis(times.give_up + 100),
-                    wall: WALL + self.now.0,
+                    pull_interval: pull,
+                    lease_terms: terms,
+                    max_body_bytes: b.bytes,
+                    max_disk_bytes: b.disk,
+                    max_cached_bytes: b.cache,
+                    max_messages: b.messages,
+                    min_backoff: Span::millis(times.backoff),
+                    max_backoff: Span::millis(times.backoff_max),
+                    rng_seed: seed,
+                    max_answer_delay: Span::millis(times.give_up + 100),
+                    started_unix_micros: WALL + self.now.0,
                 };
                 let (c, e) = Store::new(s, &files, mark_of(id), self.now);
                 (Box::new(c), e)
