--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -1,8 +1,9 @@
-//! Operations sent to the backups, their acknowledgements, and what stands.
+//! Replication: operations sent to the backups, their acknowledgements, and the commit
+//! position.
 use crate::prelude::*;
 
 impl Store {
-    /// Sends each backup what it lacks of the latest ops.
+    /// Sends each backup the operations that it lacks.
     pub(super) fn replicate(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         for backup in lead.backups.keys().cloned().collect::<Vec<_>>() {
@@ -21,7 +22,7 @@
             return;
         }
         let Some(ops) = lead.ops_from(sent + 1, top) else {
-            // Too far behind for the ops kept: it copies the whole.
+            // The operations it lacks are no longer kept: it needs a complete copy.
             if let Some(s) = lead.peers.get_mut(backup) {
                 (s.have, s.short) = (None, true);
             }
@@ -45,7 +46,7 @@
         ops: Vec<PartitionOp>,
         now: Time,
     ) {
-        // Unacknowledged, the second copy goes to another peer.
+        // Without an acknowledgement the leader chooses another backup.
         if self.is_disk_stuck() {
             return;
         }
@@ -95,7 +96,7 @@
             return;
         }
         let counts = lead.counts(&from, disk_id);
-        // The last op it lacks must be kept, if it lacks any.
+        // If it lacks operations, the first of them has to be kept here still.
         let kept = up_to == top || lead.op(up_to + 1, top).is_some();
         let peer = lead.peers.entry(from.clone()).or_default();
         peer.short = !kept;
@@ -109,12 +110,13 @@
         }
         if !counts {
             if !lead.covers(&from, up_to) {
-                // Made for an earlier replacement: it is copied once more.
+                // The copy was made for an earlier replacement and lacks operations: it
+                // is made again.
                 let Some(peer) = lead.peers.get_mut(&from) else { return };
                 (peer.have, peer.short, peer.asked) = (None, true, Time(0));
                 return;
             }
-            // A copy made whole under a new mark: placement may count it now.
+            // A complete copy under a new disk id: placement may count it from now on.
             if lead.whole.insert(from, disk_id) != Some(disk_id) {
                 self.link.pull_now(now);
             }
@@ -164,8 +166,8 @@
         self.advance_commit(partition, now);
     }
 
-    /// What is synced here and on enough counting peers, one of them in
-    /// another zone, stands.
+    /// Advances the commit position: an operation is committed once it is synced here and
+    /// on enough peers that count, at least one of them in another zone.
     pub(super) fn advance_commit(&mut self, partition: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -1,10 +1,11 @@
-//! What the log and the counts tell of attempts that did not end as their
-//! leader counted on.
+//! Attempts that did not end as their leader expected: log events, counters and
+//! requeueing.
 use crate::prelude::*;
 
 impl Store {
-    /// Attempts whose end passed without a word: their messages go on. After a
-    /// standstill the words that lie unread are heard first.
+    /// Handles attempts whose deadline passed without a result: their messages go on.
+    /// After a standstill of this process, the messages that wait unread are processed
+    /// first, as they may contain the results.
     pub(super) fn expire_overdue_attempts(&mut self, partition: &PartitionId, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
@@ -23,9 +24,9 @@
         }
     }
 
-    /// Whether a record that was taken out of a line may be handed out: for
-    /// work while its work is not over, for a call-back while one is owed. Any
-    /// other must stand in no line.
+    /// Whether a message taken from a ready queue may be dispatched: for an attempt while
+    /// it is pending, for a call-back while one is owed. Any other message must not be in
+    /// a queue, so that is logged as a fault.
     pub(super) fn may_dispatch(&mut self, partition: &PartitionId, id: &MessageId, is_callback: bool) -> bool {
         let stage = self.partitions.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.stage);
         let fits = match stage {
@@ -41,8 +42,9 @@
         false
     }
 
-    /// An open message that nothing would ever run again: it waits from now on,
-    /// or until the rest at the opening is over.
+    /// Puts a pending message that is in no queue back into its route's queue; otherwise
+    /// nothing would ever run it again. It becomes due now, or when the waiting period
+    /// after the opening ends.
     pub(super) fn requeue_stranded(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
         let Some(part) = self.partitions.get_mut(partition) else { return };
         let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(id)) else { return };
@@ -52,7 +54,8 @@
         self.log(LogEvent::StrandedMessageRequeued, format!("{partition} {id}"));
     }
 
-    /// Judges a success of an attempt that is not under way here.
+    /// Checks a success of an attempt that this leader does not consider in flight. Logs
+    /// whether it was only reported late or ran past its deadline.
     pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
         let Some(part) = self.partitions.get_mut(&result.partition) else { return };
         let Some(lead) = part.own.as_mut() else { return };
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -1,26 +1,26 @@
-//! The peers of a partition that its leader sees to: the backups that get every
-//! operation, and those whose copy does not count yet.
+//! The peers that the leader of a partition maintains: the backups that receive every
+//! operation, and stores whose copy does not count yet.
 use crate::prelude::*;
 
-/// A backup that owes an acknowledgement for so many parts of a hundred of a
-/// lease gives way to another, and sooner if it used to be fast.
+/// A backup that owes an acknowledgement for this percentage of a lease is replaced, and
+/// sooner if it used to respond fast.
 const BACKUP_TIMEOUT_LEASE_PERCENT: u64 = 30;
-/// A backup that lacks something is asked again after this.
+/// A backup that lacks operations is sent them again after this.
 const BACKUP_RETRY_DELAY: Span = Span::millis(300);
-/// A store that has to be made whole for its seat, after this.
+/// A store of the write set that needs a complete copy is told so again after this.
 const SEAT_COPY_RETRY_DELAY: Span = Span::secs(1);
 const FENCE_RETRY_DELAY: Span = Span::secs(1);
-/// A peer of this zone that is no backup is drawn in once in so long.
+/// A backup in this zone is added at most once in this time.
 const SAME_ZONE_BACKUP_RETRY_DELAY: Span = Span::secs(4);
-/// After a partition was opened its second copy is moved only for so long.
+/// The backup is moved only within this time after a partition was opened.
 const BACKUP_REBALANCE_WINDOW: Span = Span::secs(2);
-/// A partition that has too few copies for so long is told of.
+/// A partition that lacks copies for this long is logged.
 const MISSING_COPIES_LOG_DELAY: Span = Span::secs(3);
 
 impl Store {
-    /// Chooses the peers that get every op, as many as must have it beside
-    /// this store and one at least in another zone. A `lost` backup gives way to
-    /// the next peer, if there is another.
+    /// Chooses the backups, the peers that receive every operation: as many as must have
+    /// it besides this store, at least one of them in another zone. A `lost` backup is
+    /// replaced by the next peer, if there is another.
     pub(super) fn choose_backups(&mut self, partition: &PartitionId, lost: Option<&Daemon>, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let zone = self.startup.me.zone.clone();
@@ -32,7 +32,7 @@
             lead.near_drawn = now;
         }
         lead.backups.retain(|d, _| all.contains(d) && Some(d) != lost);
-        // The one after the lost one comes first, the lost one itself last.
+        // The peer after the lost one comes first, the lost one itself last.
         let begin = lost.and_then(|lost| all.iter().position(|d| d == lost)).map_or(0, |at| at + 1);
         let in_turn: Vec<&Daemon> = all.iter().cycle().skip(begin).take(all.len()).collect();
         let mut joined = Vec::new();
@@ -56,12 +56,13 @@
         self.maintain_backups(partition, now);
     }
 
-    /// The peers that may be backups of a partition, the fittest first.
+    /// The peers that may be backups of a partition, the best first.
     fn backup_candidates(&self, partition: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
         let leaves = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
-        // One backup has to be in another zone; of several, any may be near.
+        // A single backup has to be in another zone; of several, some may be in this
+        // zone.
         let near_too = lead.backups_needed() > 1;
         let apart = |d: &Daemon| zones.get(d).is_some_and(|z| near_too || *z != me.zone);
         let mut all: Vec<Daemon> =
@@ -71,9 +72,9 @@
         }
         let by = hash_of(partition.to_string().as_bytes()) as usize % all.len();
         all.rotate_left(by);
-        // Fenced ones have shown they are there; one whose folder was lost
-        // does not count until its new one is known to all. Of those alike the
-        // ones of this zone first: each op then leaves it as seldom as may be.
+        // Fenced peers have shown that they are reachable. A peer that lost its folder
+        // does not count until its new folder is known to all. Among equals those in this
+        // zone come first, so that each operation leaves the zone as seldom as possible.
         let fitness = |d: &Daemon| match lead.folder_of(d) {
             None => 1,
             Some(disk_id) if lead.counts(d, disk_id) => 0,
@@ -84,8 +85,8 @@
         all
     }
 
-    /// A peer closed its line: where something waits for its copy, another
-    /// takes its part at once.
+    /// A connection to a peer was closed. Where something waits for its acknowledgement,
+    /// another backup is chosen at once.
     pub(super) fn on_peer_disconnected(&mut self, peer: &Daemon, now: Time) {
         let waits = |part: &Part| part.own.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.waits.is_empty());
         let affected: Vec<PartitionId> = self.partitions.iter().filter(|(_, part)| waits(part)).map(|(k, _)| k.clone()).collect();
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Where somebody waits for an op, a backup that is silent gives way at once.
+    /// Replaces silent backups of the partitions where somebody waits for an operation to
+    /// be committed.
     pub(super) fn replace_silent_backups(&mut self, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
@@ -119,7 +121,8 @@
         }
     }
 
-    /// Sees to the backups, and to seats whose copy does not count yet.
+    /// Maintains the backups, and the stores of the write set whose copy does not count
+    /// yet.
     pub(super) fn maintain_backups(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         if lead.backups.is_empty() {
@@ -141,12 +144,12 @@
         self.rebalance_backup(partition, now);
     }
 
-    /// Where one backup is needed it is the one that answered first when the
-    /// partition was sealed. Of all partitions that are opened at one time that
-    /// may be the same store, and its loss would stall all of them. So once all
-    /// stores of the set have answered, the partition's own first candidate
-    /// takes the place, if it stands where the partition stood when it was
-    /// sealed: then nothing has to be copied.
+    /// Spreads second copies over the stores. Where one backup is needed, it is the store
+    /// that answered first when the partition was fenced. For partitions that are opened
+    /// at the same time that may be the same store, and its loss would stall all of them.
+    /// So once all stores of the write set have answered, the partition's own first
+    /// candidate becomes the backup, provided it was at the same operation as the
+    /// partition when it was fenced: then nothing has to be copied.
     fn rebalance_backup(&mut self, partition: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
@@ -186,9 +189,9 @@
         }
     }
 
-    /// Draws a peer of this zone in where all backups stand elsewhere, as may
-    /// be after an opening or a failure: each operation crosses zones once
-    /// less. Until it has caught up it is one backup more than is needed.
+    /// Adds a backup in this zone where all backups are in other zones, as may be after
+    /// an opening or a failure: each operation then crosses zones once less. Until it has
+    /// caught up there is one backup more than needed.
     fn add_same_zone_backup(&mut self, partition: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let here = self.startup.me.zone.clone();
@@ -211,9 +214,10 @@
         lead.asked = Time(0);
     }
 
-    /// The backups that need a whole copy, and one that has to give way: it lags
-    /// and has not moved for a while, it leaves, or it came back without its
-    /// disk, so that nothing it holds counts until its new folder is seated.
+    /// Returns the backups that need a complete copy, and one that has to be replaced: it
+    /// lags and has not responded for a while, it leaves the write set, or it came back
+    /// without its disk, so that nothing it holds counts until its new folder is in the
+    /// write set.
     fn check_backups(&mut self, partition: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
         let still = self.standstill.is_catching_up(now);
@@ -248,9 +252,9 @@
         (to_copy, lost)
     }
 
-    /// Stores of the set whose folder is another than the one that counts, and
-    /// the one that takes a seat. A leader that waits for a copy in another zone
-    /// sees to them too: one of them may be the only store there.
+    /// Stores of the write set whose folder is not the one that counts, and the store
+    /// that joins the set. A leader that waits for a copy in another zone copies to them
+    /// too: one of them may be the only store there.
     fn seats_to_copy_to(&mut self, partition: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return to_copy };
@@ -273,14 +277,14 @@
         to_copy
     }
 
-    /// Stores of the set whose present folder is not the one that counts. One
-    /// that is away may come back with its folder: it is not among them.
+    /// Stores of the write set whose present folder is not the one that counts. A store
+    /// that is not a member at the moment is included.
     pub(super) fn seats_without_copy(&self, lead: &LeaderState) -> Vec<Daemon> {
         let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
         lead.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
     }
 
-    /// Notes since when copies are lacking, and tells of it when it lasts.
+    /// Records since when copies are missing, and logs it if that lasts.
     fn track_missing_copies(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         let (short, lacking) = (lead.short, self.seats_without_copy(lead));
@@ -302,7 +306,7 @@
         }
     }
 
-    /// Stores of the set that were never fenced may have come back since.
+    /// Fences stores of the write set that were never fenced, as they may have come back.
     fn fence_unfenced(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let me = &self.startup.me.id;
@@ -318,7 +322,7 @@
         }
     }
 
-    /// Tells a peer that it lacks this epoch, so that it asks for a copy.
+    /// Tells a peer that it lacks this epoch, so that it requests a copy.
     fn offer_copy(&mut self, partition: &PartitionId, peer: Daemon) {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
         let disk_id = lead.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -1,32 +1,33 @@
-//! A replica as the source of a whole copy.
+//! The sending side of a copy: a replica sends the complete contents of a partition.
 use super::{Body, BodyWaiter};
 use crate::partial_copy::record_size;
 use crate::prelude::*;
 use std::ops::Bound;
 
-/// Bytes of bodies sent at once.
+/// Limit on the body bytes in one message; the body that crosses it is still sent.
 const MAX_BODY_BYTES_PER_PART: usize = 256 << 10;
-/// Records sent at once, and bytes of theirs.
+/// Limits on the records in one part: their number, and the bytes of their headers.
 const MAX_RECORDS_PER_PART: usize = 1000;
 const MAX_RECORD_BYTES_PER_PART: usize = 256 << 10;
 
-/// Bytes that were asked for.
+/// The requested bodies.
 #[derive(Default)]
 struct Bodies {
     here: Vec<(MessageId, Bytes)>,
-    /// To be read back first.
+    /// Ids of the bodies that have to be read from disk first.
     on_disk: Vec<MessageId>,
 }
 
 impl Store {
-    /// Only a replica fenced at this very epoch, or its leader once that is
-    /// whole, hands out.
+    /// Whether this replica may send copies: it is fenced at exactly this epoch, or leads
+    /// under it and is complete.
     fn may_send_copies(&self, partition: &PartitionId, epoch: Epoch) -> bool {
         let Some(part) = self.partitions.get(partition) else { return false };
         part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
     }
 
-    /// A store that knows no parts is sent the list of all records.
+    /// Sends the list of all records to a store of a version that does not know copies in
+    /// parts.
     pub(super) fn on_fetch_copy(&mut self, from: Daemon, partition: PartitionId, epoch: Epoch) {
         if !self.may_send_copies(&partition, epoch) {
             return;
@@ -35,12 +36,12 @@
         self.send(&from, PeerMessage::WholeCopy { partition, epoch, snapshot });
     }
 
-    /// Bytes by name: of a copy that goes by the list, or for a copy that is bad.
+    /// Sends bodies by message id: for a copy made by list, or in place of a corrupt one.
     pub(super) fn on_fetch_bodies(&mut self, from: Daemon, partition: PartitionId, epoch: Epoch, ids: Vec<MessageId>, now: Time) {
         if !self.may_send_copies(&partition, epoch) {
             return;
         }
-        // One that copies is not silent, however long that takes.
+        // A peer that is copying is not silent, however long that takes.
         let peer =
             self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
@@ -55,7 +56,7 @@
         self.send(&from, PeerMessage::Bodies { partition, epoch, entries: bodies.here });
     }
 
-    /// The next part of a copy, once the bytes that go with it are at hand.
+    /// Sends the next part of a copy, once the bodies that go with it are in memory.
     pub(super) fn on_copy_request(
         &mut self,
         from: Daemon,
@@ -67,7 +68,7 @@
         if !self.may_send_copies(&partition, epoch) {
             return;
         }
-        // One that copies is not silent, however long that takes.
+        // A peer that is copying is not silent, however long that takes.
         let peer =
             self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
@@ -78,7 +79,7 @@
         if self.read_bodies_for(&partition, &bodies.on_disk, waiter) {
             return;
         }
-        // Too much is being read back now: it asks again.
+        // Too much is being read back now. The peer asks again.
         if bodies.here.is_empty() && !bodies.on_disk.is_empty() {
             return;
         }
@@ -90,8 +91,8 @@
         self.send(&from, PeerMessage::CopyPart { partition, epoch, part });
     }
 
-    /// What there is of the bytes asked for, up to a bound. Of a record that is
-    /// gone or has let go of its bytes there is nothing to send.
+    /// The requested bodies that exist, up to a limit. There is nothing to send for a
+    /// record that was removed or whose body was released.
     fn bodies_of(&mut self, partition: &PartitionId, ids: &[MessageId], now: Time) -> Bodies {
         let mut bodies = Bodies::default();
         let mut size = 0;
@@ -116,8 +117,8 @@
         bodies
     }
 
-    /// Begins to read bytes back; `who` is served once the last of them is
-    /// here. False when there is nothing to wait for.
+    /// Starts reading bodies from disk; `waiter` is served once the last of them is read.
+    /// Returns false if there is nothing to wait for.
     fn read_bodies_for(&mut self, partition: &PartitionId, ids: &[MessageId], waiter: BodyWaiter) -> bool {
         let Some((last, rest)) = ids.split_last() else { return false };
         let begun = rest.iter().all(|id| self.read_body_for(partition, id, BodyWaiter::Prefetch));
@@ -126,8 +127,8 @@
 }
 
 impl Part {
-    /// The part of a copy that goes on from `position`; from the beginning, if
-    /// the operations since then are no longer kept.
+    /// The part of a copy that continues from `position`, or from the beginning if the
+    /// operations since then are no longer kept.
     fn copy_part(&self, position: Option<CopyPosition>, bodies: Vec<(MessageId, Bytes)>) -> CopyPart {
         let since = position.and_then(|at| Some((self.ops_since(at.last_op)?, at)));
         let (ops, from) = match since {
@@ -135,8 +136,8 @@
             None => (Vec::new(), None),
         };
         let n = from.as_ref().map_or(self.n, |at| at.last_op + ops.len() as u64);
-        // Records stand at the last operation: with one that comes later in
-        // another part they would not fit.
+        // The records are those after the last operation. If some operations follow only
+        // in a later part, records sent now would not match them.
         let (records, complete) = match n == self.n {
             true => self.records_after(from.as_ref().map(|at| &at.last_id)),
             false => (Vec::new(), false),
@@ -146,7 +147,8 @@
         CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next, complete }
     }
 
-    /// Operations since the one numbered `n`, as many as are sent at once.
+    /// The operations after number `n`, as many as are sent at once. `None` if they are
+    /// no longer kept.
     fn ops_since(&self, n: u64) -> Option<Vec<PartitionOp>> {
         match &self.own {
             _ if n == self.n => Some(Vec::new()),
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The next records by name, and whether none follow.
+    /// The next records by id, and whether these are the last.
     fn records_after(&self, after: Option<&MessageId>) -> (Vec<(MessageHeader, Stage)>, bool) {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = self.recs.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -1,27 +1,30 @@
 //! A store that was told to stop.
 //!
-//! It gives up its partitions and goes once others keep them. Its copies may
-//! still be needed: placement says whether its seats in write sets are being
-//! moved, and until they have it stays as a replica, for a bounded time.
+//! It releases its partitions and exits once other stores lead them. Its copies may still
+//! be needed: placement says whether its seats in write sets are being moved, and until
+//! they have been it stays as a replica, for a bounded time.
 use crate::prelude::*;
 
-/// A caller's last answers are on their way for this long.
+/// Time allowed for the last answers to callers to arrive.
 const ANSWER_DELIVERY_TIME: Span = Span::millis(300);
-/// Nobody has said who keeps what it gave up, or whether to wait.
+/// How long it waits to learn who leads the released partitions, and whether placement is
+/// moving its seats.
 const PLACEMENT_ANSWER_TIMEOUT: Span = Span::secs(2);
-/// It goes after this, whatever it waits for: less than the platform's grace.
+/// It exits after this time in any case. This is less than the platform's grace period.
 const MAX_DEPARTURE_TIME: Span = Span::secs(5);
 
-/// What placement said of this store's seats.
+/// What placement reported about this store's seats in write sets.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SeatMoves {
     Unknown,
     Moving,
-    /// None are left here, or nobody takes them.
+    /// No seats are left here, or no other store can take them.
     NoneLeft,
 }
 
-/// Invariant: set from the order to stop until the end of the process.
+/// Progress of a store that stops.
+///
+/// Invariant: it exists from the order to stop until the process ends.
 pub(super) struct Departure {
     since: Time,
     seats: SeatMoves,
@@ -34,15 +37,15 @@
 }
 
 impl Store {
-    /// Placement's answer to a pull that said this store stops.
+    /// Handles placement's answer to a pull that reported this store as stopping.
     pub(super) fn on_departure_answer(&mut self, term: Term, wait: bool) {
         if let Some(departure) = self.departure.as_mut().filter(|_| term == self.link.term()) {
             departure.seats = if wait { SeatMoves::Moving } else { SeatMoves::NoneLeft };
         }
     }
 
-    /// Sheds all partitions of a store that stops, and ends it when nothing
-    /// is left to wait for.
+    /// Releases all partitions of a store that stops, and exits when nothing is left to
+    /// wait for.
     pub(super) fn advance_departure(&mut self, now: Time) {
         let Some(Departure { since, seats }) = self.departure else { return };
         self.mark_all_for_release(now);
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Whether other stores are known to keep all that this one gave up; it
-    /// is told on until then.
+    /// Whether other stores are known to lead every partition that this one released.
+    /// Until then the releases are reported.
     fn has_other_leaders(&self) -> bool {
         self.released_grants.keys().all(|duty| {
             let Duty::Lead(partition) = duty else { return true };
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -1,35 +1,34 @@
-//! A store whose disk takes no writes.
+//! A store whose disk accepts no writes.
 //!
-//! It refuses new messages at once, as nothing of them is written anywhere.
-//! What it has stays readable, and it goes on as a replica that acknowledges
-//! nothing. As leader it would block its partitions, since every change has to
-//! be synced here: it gives them up to the rest of their write set and takes
-//! none back until the disk works again.
+//! It refuses new messages at once, as it could not store them. What it holds stays
+//! readable, and it remains a replica, but acknowledges nothing. As leader it would block
+//! its partitions, since every change has to be synced here. So it releases them to the
+//! other stores of their write sets and accepts none until the disk works again.
 use crate::prelude::*;
 
-/// A disk stuck for this long costs the store its partitions: a shorter pause
-/// costs less than opening them elsewhere.
+/// A store releases its partitions after its disk has been stuck for this long. Waiting
+/// out a shorter pause costs less than opening them elsewhere.
 const RELEASE_PARTITIONS_AFTER: Span = Span::millis(500);
 
 impl Store {
-    /// Whether new messages can't be written now.
+    /// Whether the disk accepts no writes now.
     pub(super) fn is_disk_stuck(&self) -> bool {
         self.disk_stuck_since.is_some()
     }
 
-    /// Whether the disk has been stuck for so long that partitions are given
-    /// up.
+    /// Whether the disk has been stuck for so long that partitions have to be released.
     pub(super) fn must_release_partitions(&self, now: Time) -> bool {
         self.disk_stuck_since.is_some_and(|since| now.since(since) >= RELEASE_PARTITIONS_AFTER)
     }
 
-    /// Whether a write set can open a new epoch without this store.
+    /// Whether the other stores of a write set are a majority and can open a new epoch
+    /// without this one.
     pub(super) fn has_majority_without_this_store(&self, write_set: &[(Daemon, IncarnationId)]) -> bool {
         let others = write_set.iter().filter(|(d, _)| *d != self.startup.me.id && self.link.members.contains_key(d)).count();
         others > write_set.len() / 2
     }
 
-    /// Sheds the partitions that the rest of their write set can keep.
+    /// Marks for release the partitions that the rest of their write set can lead.
     pub(super) fn release_if_disk_stuck(&mut self, now: Time) {
         if !self.must_release_partitions(now) {
             return;
@@ -47,9 +46,9 @@
         }
     }
 
-    /// Whether placement should grant nothing here: the disk is stuck, and all
-    /// partitions are given up. Earlier than that it would take a claim that
-    /// is still live for one given up.
+    /// Whether placement should grant nothing here: the disk is stuck, and all partitions
+    /// are released. Reported earlier, placement would take a claim that is still live
+    /// for a released one.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
         let leads = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
         self.must_release_partitions(now) && !leads && self.partitions.values().all(|part| part.own.is_none())
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -1,14 +1,15 @@
-//! Routed messages: handed to whichever delivery can reach a worker of their
-//! service, and what becomes of them.
+//! Routed messages: dispatched to any delivery that can reach a worker of their service,
+//! and retried, given up or expired.
 use super::dispatch::stage_after_work;
 use super::{Body, BodyWaiter};
 use crate::prelude::*;
 
-/// What a delivery last said it takes here.
-/// Invariant: of one delivery only the newest word counts.
+/// The capacity for routed messages that a delivery last reported.
+///
+/// Invariant: of each delivery only the newest report counts.
 pub struct RoutedCapacityReport {
     incarnation: IncarnationId,
-    /// Lives that it had before: a late word of one says nothing.
+    /// Earlier incarnations of the delivery. A late report from one of them is ignored.
     earlier_incarnations: Vec<IncarnationId>,
     requested_at: Time,
     received_at: Time,
@@ -16,28 +17,31 @@
     addresses: BTreeSet<Duty>,
 }
 
-/// Of each delivery; a word of one before these comes hours late.
+/// Remembered per delivery. A report from an incarnation before these would come hours
+/// late.
 const MAX_EARLIER_INCARNATIONS: usize = 16;
-/// A word older than this is no longer acted on.
+/// A report older than this is ignored.
 const MAX_ROUTED_CAPACITY_AGE: Span = Span::millis(1200);
-/// Of one address to be called back at, so many at once from one store.
+/// Call-backs to one address that one store has in flight at once.
 const MAX_CALLBACKS_PER_ADDRESS: u32 = 6;
-/// A call-back that failed is tried again after this, doubled to the cap.
+/// Delay before a failed call-back is retried. It doubles with each retry, up to the
+/// maximum.
 const CALLBACK_RETRY_DELAY: Span = Span::millis(300);
 const MAX_CALLBACK_RETRY_DELAY: Span = Span::secs(2);
-/// After a run that failed, doubled to the cap; after one that may have run;
-/// after one that did not.
+/// Delays before a message is run again: after a failure (doubled each time, up to the
+/// maximum), after an unknown outcome (likewise), and after an attempt that did not
+/// start.
 const FAILED_RETRY_DELAY: Span = Span::millis(60);
 const MAX_FAILED_RETRY_DELAY: Span = Span::secs(2);
 const UNKNOWN_OUTCOME_RETRY_DELAY: Span = Span::millis(120);
 const MAX_UNKNOWN_OUTCOME_RETRY_DELAY: Span = Span::secs(5);
 const NOT_STARTED_RETRY_DELAY: Span = Span::millis(40);
-/// So many bodies are read back for one line at once.
+/// Bodies read back from disk at once for one ready queue.
 const MAX_BODY_READS_PER_QUEUE: u32 = 16;
 const BODY_READ_RETRY_DELAY: Span = Span::secs(1);
 
-/// When a message was handed in, by this store's clock: what was read from
-/// disk or copied from a peer tells it by the time of day.
+/// When a message was accepted, on this store's clock. For a message read from disk or
+/// copied from a peer this is computed from the wall-clock time in its header.
 pub(super) fn accepted_at(header: &MessageHeader, started_at: Time, started_unix_micros: u64, now: Time) -> Time {
     if header.accepted_unix_micros == 0 || started_unix_micros == 0 {
         return now;
@@ -46,16 +50,18 @@
     Time(now.0.saturating_sub(unix_now.saturating_sub(header.accepted_unix_micros)))
 }
 
-/// One line with something due, and its place in turn.
+/// A queue of one partition in which something is due, with its position in the dispatch
+/// order.
 struct ReadyQueue {
     priority: u32,
     oldest_due: Time,
     partition: PartitionId,
-    /// Its route, or the address to be called back at.
+    /// The route, or the call-back address.
     route_or_address: String,
 }
 
 impl Store {
+    /// Records a delivery's capacity for routed messages, unless a newer report is known.
     pub(super) fn on_routed_capacity(
         &mut self,
         from: &Daemon,
@@ -93,7 +99,7 @@
         self.requeue_unclaimed_routed(from, partitions, in_flight, now);
     }
 
-    /// A delivery lives anew: what its earlier life had in hand is over, and
+    /// A delivery has restarted: the attempts of its earlier incarnation are over, and
     /// may have run.
     fn end_attempts_of_earlier_incarnations(&mut self, from: &Daemon, incarnation: IncarnationId, now: Time) {
         let mut over = Vec::new();
@@ -110,9 +116,9 @@
         }
     }
 
-    /// A delivery that knows a new leader's epoch takes nothing of an earlier
-    /// one any more. Once every delivery has said so, only what one of them
-    /// names is still under way, and the rest need not wait.
+    /// A delivery that knows this leader's epoch accepts nothing from an earlier leader
+    /// any more. Once every delivery has reported so, only the attempts that one of them
+    /// lists are still in flight, and the other messages need not wait any longer.
     fn requeue_unclaimed_routed(
         &mut self,
         from: &Daemon,
@@ -155,8 +161,8 @@
         }
     }
 
-    /// Hands out what is due: to a delivery of this zone while it has room,
-    /// else to the one that has most.
+    /// Dispatches what is due: to a delivery in this zone while it has capacity, else to
+    /// the one with the most capacity.
     pub(super) fn dispatch_routed(&mut self, now: Time) {
         if self.routed_capacity.is_empty() || self.link.rules.spool == 0 {
             return;
@@ -208,7 +214,7 @@
                 *in_flight.entry((destination.clone(), to.clone())).or_default() += 1;
                 self.counts.attempts_offered += 1;
                 offers.entry(to).or_insert((requested_at, Vec::new())).1.push(offer);
-                // Lines of one priority take turns.
+                // Queues of the same priority take turns.
                 let at = queues.iter().position(|q| q.priority == queue.priority).unwrap_or(queues.len());
                 queues.insert(at, queue);
             }
@@ -218,6 +224,8 @@
         }
     }
 
+    /// The delivery with spare capacity for a destination: one in this zone first, then the
+    /// one with the most.
     fn choose_delivery(
         &self,
         destination: &Destination,
@@ -241,6 +249,7 @@
         Some((best.1.clone(), best.2.requested_at, best.2.incarnation))
     }
 
+    /// Takes the next due message of a queue and records its attempt.
     fn take_routed(
         &mut self,
         queue: &ReadyQueue,
@@ -255,8 +264,8 @@
             false => self.link.rules.routes.get(&queue.route_or_address)?.attempt,
         };
         let max_age = self.link.rules.routes.get(&queue.route_or_address).map(|x| x.worth);
-        // What can still begin in the time wanted goes before what is late
-        // already; but each fourth turn is the oldest's.
+        // Messages that can still start within the target time go before those that are
+        // late already, but every fourth dispatch takes the oldest message.
         let start_target = self.link.rules.routes.get(&queue.route_or_address).map_or(Span::ZERO, |x| x.start);
         let oldest_first = start_target == Span::ZERO || self.counts.attempts_offered.is_multiple_of(4);
         let on_time_since = Time(now.0.saturating_sub(start_target.0));
@@ -336,9 +345,9 @@
         }
     }
 
-    /// A message's head and bytes as they are handed out; a call-back carries
-    /// none, and its head says so. `Err` when they are not at hand, and
-    /// whether the copy here is bad.
+    /// The header and body to dispatch. A call-back carries no body, and its header says
+    /// so. `Err` if the body is not in memory: `true` if the copy here is corrupt,
+    /// `false` if it has to be read from disk.
     fn header_and_body(
         &mut self,
         partition: &PartitionId,
@@ -357,7 +366,7 @@
         }
     }
 
-    /// An attempt's hard end has passed without a word of it.
+    /// The deadline of an attempt has passed without a result.
     pub(super) fn on_attempt_expired(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
         let routed =
             self.partitions.get(partition).and_then(|part| part.recs.get(id)).is_some_and(|record| !record.head.route.is_empty());
@@ -367,8 +376,8 @@
         }
     }
 
-    /// A run ended without success: again later, or given up when a worker
-    /// has said so often enough that it failed.
+    /// Handles an attempt that ended without success: retries the message later, or gives
+    /// up once workers have reported enough failures.
     pub(super) fn retry_routed(&mut self, partition: &PartitionId, id: &MessageId, outcome: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
         let Some(part) = self.partitions.get_mut(partition) else { return };
@@ -392,8 +401,8 @@
                 let pause = match outcome {
                     AttemptOutcome::Failed => double(FAILED_RETRY_DELAY, record.tries - 1, MAX_FAILED_RETRY_DELAY),
                     AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
-                    // A run that always goes past its time must not take a
-                    // worker's slot again and again.
+                    // A message that always exceeds its time must not take a worker's
+                    // slot again and again.
                     _ => {
                         let pause =
                             Span((UNKNOWN_OUTCOME_RETRY_DELAY.0 << record.doubts.min(12)).min(MAX_UNKNOWN_OUTCOME_RETRY_DELAY.0));
@@ -415,8 +424,8 @@
         }
     }
 
-    /// Messages whose route a configuration dropped, or that are past their worth,
-    /// end; those under way when their run does.
+    /// Expires messages whose route was removed from the configuration or that have
+    /// outlived the route's limit. Those in flight end with their attempt.
     pub(super) fn expire_routed(&mut self, now: Time) {
         let rules = &self.link.rules;
         let mut stale: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
@@ -426,7 +435,7 @@
                 let route = rules.routes.get(name);
                 for (_, seq) in due.iter() {
                     let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
-                    // One whose success is kept back did not expire.
+                    // A message whose success is deferred has not expired.
                     let open = !lead.won.contains(&seq) && !lead.lane.rests(seq, lead.quiet, now);
                     if route.is_none_or(|x| now.since(record.taken) > x.worth) && open {
                         stale.push((partition.clone(), record.head.id.clone(), stage_after_work(record, Outcome::Expired)));
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -1,16 +1,16 @@
-//! What a store sees to now and then, whatever is asked of it: records whose
-//! time is over, duties that nobody takes, and files that are mostly waste.
+//! Periodic maintenance: removing records past their retention, tracking duties that
+//! nobody serves, and rewriting files that are mostly garbage.
 use super::BodyWaiter;
 use crate::prelude::*;
 
-/// Beyond the reading time, for a copy that nobody tends.
+/// A replica without a leader drops ended records this much later than a leader would.
 const UNLED_RETENTION_MARGIN: Span = Span::secs(30);
-/// How much of the oldest file is written again in one second.
+/// Bytes of the oldest file that are rewritten in one second at most.
 const MAX_REWRITE_BYTES: u64 = 2 << 20;
 
 impl Store {
-    /// Each second: attempts past their hard end, messages past their reading
-    /// time or their worth, and the oldest files.
+    /// Runs every second: handles attempts past their deadline, messages past their
+    /// retention or expiry, and the oldest file.
     pub(super) fn run_maintenance(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         let led: Vec<PartitionId> = self.partitions.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
@@ -18,7 +18,7 @@
             self.expire_overdue_attempts(&partition, now);
             let Some(part) = self.partitions.get_mut(&partition) else { continue };
             let Some(lead) = part.own.as_mut() else { continue };
-            // Kept-back successes whose other attempts are over by now.
+            // Deferred successes whose other attempts are over by now.
             let (quiet, lane) = (lead.quiet, &lead.lane);
             let settled: Vec<MessageId> = lead
                 .won
@@ -66,8 +66,8 @@
         self.rewrite_oldest_file();
     }
 
-    /// A copy that no leader tends hears of no drops. What ended here lets go
-    /// of its room all the same, later than any leader would drop it.
+    /// A replica that no leader maintains receives no removals. It drops its ended
+    /// records by itself, later than any leader would.
     fn drop_unled_records(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         if retain == Span::ZERO {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes duties that have something due and a holder that we do not hear.
+    /// Records duties with something due whose holder has not reported capacity lately.
     fn track_unserved_duties(&mut self, now: Time) {
         if !self.link.config_is_current(now) {
             return self.unserved_since.clear();
@@ -102,20 +102,21 @@
         }
     }
 
-    /// What placement is told of them.
+    /// The duties whose holder seems unreachable, for the report to placement.
     pub(super) fn unreachable_duties(&self, now: Time) -> Vec<Duty> {
         let unserved = self.unserved_since.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
-        // A delivery always tells an attempt's end; one that does not is cut
-        // off. Moving an endpoint costs its newcomer's share, so twice there.
+        // A delivery always reports an attempt's end, so one that does not is cut off.
+        // Moving an endpoint uses up rate limit of its new holder, so an endpoint needs
+        // two such attempts.
         let min_unreported = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
         let unreported = self.unreported_in_a_row.iter().filter(|(d, n)| **n >= min_unreported(d)).map(|(d, _)| d.clone());
         unserved.chain(unreported).collect::<BTreeSet<Duty>>().into_iter().collect()
     }
 
-    /// Writes living records of the oldest file again, a part at a time, so
-    /// that it can go; what is not in memory is read back for the next time.
+    /// Rewrites the live records of the oldest file, a part at a time, so that the file
+    /// can be removed. Bodies that are not in memory are read back for the next time.
     fn rewrite_oldest_file(&mut self) {
-        // A record's lines take some room beside its bytes.
+        // A record's lines take some space beyond its body.
         let count: usize = self.partitions.values().map(|part| part.recs.len()).sum();
         let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
         let Some((first, last)) = self.ledger.sparse(live) else { return };
