--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -14,14 +14,14 @@
     fn replicate_to(&mut self, partition: &PartitionId, backup: &Daemon, now: Time) {
         let Some(part) = self.partitions.get_mut(partition) else { return };
         let Some(lead) = part.own.as_mut() else { return };
-        let top = part.n;
+        let last_op = part.n;
         let epoch = lead.epoch;
-        let Some(have) = lead.peers.get(backup).and_then(|s| s.have) else { return };
-        let sent = lead.peers.get(backup).map_or(have, |s| s.sent).max(have);
-        if sent >= top || sent - have > 4 * 1024 {
+        let Some(acknowledged) = lead.peers.get(backup).and_then(|s| s.have) else { return };
+        let sent = lead.peers.get(backup).map_or(acknowledged, |s| s.sent).max(acknowledged);
+        if sent >= last_op || sent - acknowledged > 4 * 1024 {
             return;
         }
-        let Some(ops) = lead.ops_from(sent + 1, top) else {
+        let Some(ops) = lead.ops_from(sent + 1, last_op) else {
             // The operations it lacks are no longer kept: it needs a complete copy.
             if let Some(s) = lead.peers.get_mut(backup) {
                 (s.have, s.short) = (None, true);
@@ -30,7 +30,7 @@
         };
         if let Some(s) = lead.peers.get_mut(backup) {
             s.note_sent(sent + ops.len() as u64, now);
-            if s.sent < top {
+            if s.sent < last_op {
                 self.to_replicate.insert(partition.clone());
             }
         }
@@ -90,25 +90,25 @@
         now: Time,
     ) {
         let Some(part) = self.partitions.get_mut(&partition) else { return };
-        let top = part.n;
+        let last_op = part.n;
         let Some(lead) = part.own.as_mut() else { return };
-        if lead.epoch != epoch || up_to > top {
+        if lead.epoch != epoch || up_to > last_op {
             return;
         }
-        let counts = lead.counts(&from, disk_id);
+        let is_counted = lead.counts(&from, disk_id);
         // If it lacks operations, the first of them has to be kept here still.
-        let kept = up_to == top || lead.op(up_to + 1, top).is_some();
+        let is_resendable = up_to == last_op || lead.op(up_to + 1, last_op).is_some();
         let peer = lead.peers.entry(from.clone()).or_default();
-        peer.short = !kept;
+        peer.short = !is_resendable;
         peer.note_acknowledged(up_to, now);
         peer.mark = disk_id;
-        let first = peer.have.is_none();
+        let is_first_acknowledgement = peer.have.is_none();
         peer.have = Some(peer.have.unwrap_or(0).max(up_to));
         peer.sent = peer.sent.max(up_to);
-        if first {
+        if is_first_acknowledgement {
             peer.sent = up_to;
         }
-        if !counts {
+        if !is_counted {
             if !lead.covers(&from, up_to) {
                 // The copy was made for an earlier replacement and lacks operations: it
                 // is made again.
@@ -184,9 +184,9 @@
             .filter_map(|(d, s)| Some((s.have?, is_in_other_zone(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
-        let Some(enough) = copies.get(lead.backups_needed() - 1).map(|c| c.0) else { return };
+        let Some(on_enough_copies) = copies.get(lead.backups_needed() - 1).map(|c| c.0) else { return };
         let Some(in_other_zone) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
-        let committable = enough.min(in_other_zone);
+        let committable = on_enough_copies.min(in_other_zone);
         if lead.phase == Phase::Spreading {
             self.set_phase(partition, Phase::Serving, now);
         }
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -11,13 +11,13 @@
             return;
         }
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
-        let mut over = Vec::new();
+        let mut expired = Vec::new();
         for (seq, flight) in lead.lane.overdue(now) {
             lead.overdue.lapsed(flight.attempt, flight.end);
             *self.unreported_in_a_row.entry(flight.duty.clone()).or_default() += 1;
-            over.extend(lead.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
+            expired.extend(lead.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
         }
-        for (id, flight) in over {
+        for (id, flight) in expired {
             self.counts.unreported_attempts += 1;
             self.log(LogEvent::AttemptEndUnreported, format!("{partition} {id} attempt {} at {}", flight.attempt, flight.to));
             self.on_attempt_expired(partition, &id, now);
@@ -63,7 +63,7 @@
         let Some(late) = lead.overdue.judge(result, lead.epoch, lead.quiet, unread, now) else { return };
         let seq = part.recs.get(&result.id).map(|record| record.head.seq);
         let current = seq.and_then(|seq| lead.lane.flights.get(&seq)).map(|f| f.attempt);
-        let current = current.map_or(String::from("none under way now"), |n| format!("attempt {n} under way now"));
+        let current = current.map_or(String::from("no attempt in flight now"), |n| format!("attempt {n} in flight now"));
         let text = format!(
             "{} {} attempt {} of epoch {} at {from}: {late}, {current}",
             result.partition, result.id, result.attempt, result.epoch
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -5,7 +5,7 @@
 /// A backup that owes an acknowledgement for this percentage of a lease is replaced, and
 /// sooner if it used to respond fast.
 const BACKUP_TIMEOUT_LEASE_PERCENT: u64 = 30;
-/// A backup that lacks operations is sent them again after this.
+/// A backup that lacks operations is sent them, or offered a copy, again after this.
 const BACKUP_RETRY_DELAY: Span = Span::millis(300);
 /// A store of the write set that needs a complete copy is told so again after this.
 const SEAT_COPY_RETRY_DELAY: Span = Span::secs(1);
@@ -25,32 +25,32 @@
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
         let zone = self.startup.me.zone.clone();
         let is_far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
-        let all = self.backup_candidates(partition, &zones);
+        let candidates = self.backup_candidates(partition, &zones);
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let needed = lead.backups_needed();
         if lost.is_some_and(|lost| !is_far(lost)) {
             lead.near_drawn = now;
         }
-        lead.backups.retain(|d, _| all.contains(d) && Some(d) != lost);
+        lead.backups.retain(|d, _| candidates.contains(d) && Some(d) != lost);
         // The peer after the lost one comes first, the lost one itself last.
-        let begin = lost.and_then(|lost| all.iter().position(|d| d == lost)).map_or(0, |at| at + 1);
-        let in_turn: Vec<&Daemon> = all.iter().cycle().skip(begin).take(all.len()).collect();
-        let mut joined = Vec::new();
+        let start = lost.and_then(|lost| candidates.iter().position(|d| d == lost)).map_or(0, |at| at + 1);
+        let candidates_in_order: Vec<&Daemon> = candidates.iter().cycle().skip(start).take(candidates.len()).collect();
+        let mut added = Vec::new();
         while lead.backups.len() < needed {
-            let last_place = lead.backups.len() + 1 == needed;
-            let must_be_far = last_place && !lead.backups.keys().any(is_far);
-            let fits = |d: &&&Daemon| !lead.backups.contains_key(**d) && (!must_be_far || is_far(d));
-            let Some(next) = in_turn.iter().find(fits).map(|d| (*d).clone()) else { break };
+            let is_last_needed = lead.backups.len() + 1 == needed;
+            let must_be_far = is_last_needed && !lead.backups.keys().any(is_far);
+            let is_eligible = |d: &&&Daemon| !lead.backups.contains_key(**d) && (!must_be_far || is_far(d));
+            let Some(next) = candidates_in_order.iter().find(is_eligible).map(|d| (*d).clone()) else { break };
             lead.backups.insert(next.clone(), now);
-            joined.push(next);
+            added.push(next);
         }
-        joined.retain(|d| Some(d) != lost);
-        if joined.is_empty() {
+        added.retain(|d| Some(d) != lost);
+        if added.is_empty() {
             return;
         }
         lead.asked = Time(0);
         if lost.is_some() {
-            let names: Vec<String> = joined.iter().map(|d| d.to_string()).collect();
+            let names: Vec<String> = added.iter().map(|d| d.to_string()).collect();
             self.log(LogEvent::BackupChosen, format!("{partition} now {}", names.join(", ")));
         }
         self.maintain_backups(partition, now);
@@ -60,18 +60,18 @@
     fn backup_candidates(&self, partition: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
-        let leaves = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
+        let is_leaving = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
         // A single backup has to be in another zone; of several, some may be in this
         // zone.
-        let near_too = lead.backups_needed() > 1;
-        let apart = |d: &Daemon| zones.get(d).is_some_and(|z| near_too || *z != me.zone);
-        let mut all: Vec<Daemon> =
-            lead.set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && apart(d) && !leaves(d)).collect();
-        if all.is_empty() {
-            return all;
+        let same_zone_allowed = lead.backups_needed() > 1;
+        let is_in_allowed_zone = |d: &Daemon| zones.get(d).is_some_and(|z| same_zone_allowed || *z != me.zone);
+        let mut candidates: Vec<Daemon> =
+            lead.set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && is_in_allowed_zone(d) && !is_leaving(d)).collect();
+        if candidates.is_empty() {
+            return candidates;
         }
-        let by = hash_of(partition.to_string().as_bytes()) as usize % all.len();
-        all.rotate_left(by);
+        let offset = hash_of(partition.to_string().as_bytes()) as usize % candidates.len();
+        candidates.rotate_left(offset);
         // Fenced peers have shown that they are reachable. A peer that lost its folder
         // does not count until its new folder is known to all. Among equals those in this
         // zone come first, so that each operation leaves the zone as seldom as possible.
@@ -81,15 +81,16 @@
             Some(_) => 2,
         };
         let is_far = |d: &Daemon| zones.get(d).is_none_or(|z| *z != me.zone);
-        all.sort_by_key(|d| (fitness(d), is_far(d)));
-        all
+        candidates.sort_by_key(|d| (fitness(d), is_far(d)));
+        candidates
     }
 
     /// A connection to a peer was closed. Where something waits for its acknowledgement,
     /// another backup is chosen at once.
     pub(super) fn on_peer_disconnected(&mut self, peer: &Daemon, now: Time) {
-        let waits = |part: &Part| part.own.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.waits.is_empty());
-        let affected: Vec<PartitionId> = self.partitions.iter().filter(|(_, part)| waits(part)).map(|(k, _)| k.clone()).collect();
+        let awaits_peer = |part: &Part| part.own.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.waits.is_empty());
+        let affected: Vec<PartitionId> =
+            self.partitions.iter().filter(|(_, part)| awaits_peer(part)).map(|(k, _)| k.clone()).collect();
         for partition in affected {
             self.choose_backups(&partition, Some(peer), now);
         }
@@ -102,19 +103,19 @@
             return;
         }
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
-        let silent = |lead: &LeaderState| {
+        let has_silent_backup = |lead: &LeaderState| {
             let patience = Patience { least: lead.patience_least.now(now), longest };
             let is_silent =
                 |backup: &Daemon, since: &Time| lead.peers.get(backup).is_some_and(|s| s.is_silent(*since, patience, now));
             !lead.waits.is_empty() && lead.backups.iter().any(|(backup, since)| is_silent(backup, since))
         };
-        let due: Vec<PartitionId> = self
+        let affected: Vec<PartitionId> = self
             .partitions
             .iter()
-            .filter(|(_, part)| part.own.as_ref().is_some_and(silent))
+            .filter(|(_, part)| part.own.as_ref().is_some_and(has_silent_backup))
             .map(|(partition, _)| partition.clone())
             .collect();
-        for partition in due {
+        for partition in affected {
             if self.link.active_epoch(&Duty::Lead(partition.clone()), now).is_some() {
                 self.maintain_backups(&partition, now);
             }
@@ -129,7 +130,7 @@
             self.choose_backups(partition, None, now);
         }
         let (mut to_copy, lost) = self.check_backups(partition, now);
-        to_copy.extend(self.seats_to_copy_to(partition, now));
+        to_copy.extend(self.stores_needing_copy(partition, now));
         self.fence_unfenced(partition, now);
         for peer in to_copy {
             self.offer_copy(partition, peer);
@@ -156,7 +157,7 @@
         if lead.phase != Phase::Serving || lead.backups_needed() != 1 || lead.spread == Spread::Done {
             return;
         }
-        let first = match lead.spread {
+        let preferred = match lead.spread {
             Spread::Open => self.backup_candidates(partition, &zones).into_iter().next(),
             _ => None,
         };
@@ -168,20 +169,20 @@
                     return;
                 }
                 lead.spread = Spread::Done;
-                let Some(first) = first.filter(|d| !lead.backups.contains_key(d)) else { return };
-                let stands = lead.fences.get(&first).filter(|replica| lead.counts(&first, replica.disk_id));
-                if stands.is_some_and(|replica| lead.was == Some((replica.installed_epoch, replica.last_op))) {
-                    lead.backups.insert(first.clone(), now);
-                    lead.spread = Spread::Drawn(first);
+                let Some(preferred) = preferred.filter(|d| !lead.backups.contains_key(d)) else { return };
+                let fenced_state = lead.fences.get(&preferred).filter(|replica| lead.counts(&preferred, replica.disk_id));
+                if fenced_state.is_some_and(|replica| lead.was == Some((replica.installed_epoch, replica.last_op))) {
+                    lead.backups.insert(preferred.clone(), now);
+                    lead.spread = Spread::Drawn(preferred);
                 }
             }
-            Spread::Drawn(first) if !lead.backups.contains_key(&first) => lead.spread = Spread::Done,
-            Spread::Drawn(first) => {
-                if lead.is_level(&first) {
-                    lead.backups.retain(|backup, _| *backup == first);
+            Spread::Drawn(preferred) if !lead.backups.contains_key(&preferred) => lead.spread = Spread::Done,
+            Spread::Drawn(preferred) => {
+                if lead.is_level(&preferred) {
+                    lead.backups.retain(|backup, _| *backup == preferred);
                     lead.spread = Spread::Done;
                 } else if now.since(lead.opened) > BACKUP_REBALANCE_WINDOW && lead.backups.len() > 1 {
-                    lead.backups.remove(&first);
+                    lead.backups.remove(&preferred);
                     lead.spread = Spread::Done;
                 }
             }
@@ -194,21 +195,21 @@
     /// caught up there is one backup more than needed.
     fn add_same_zone_backup(&mut self, partition: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
-        let here = self.startup.me.zone.clone();
-        let near = |d: &Daemon| zones.get(d).is_some_and(|z| *z == here);
+        let this_zone = self.startup.me.zone.clone();
+        let is_in_this_zone = |d: &Daemon| zones.get(d).is_some_and(|z| *z == this_zone);
         let candidates = self.backup_candidates(partition, &zones);
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         if lead.phase != Phase::Serving || lead.backups_needed() < 2 {
             return;
         }
         if lead.backups.len() > lead.backups_needed() {
-            return lead.release_far_backup(near);
+            return lead.release_far_backup(is_in_this_zone);
         }
-        if lead.backups.keys().any(near) || now.since(lead.near_drawn) < SAME_ZONE_BACKUP_RETRY_DELAY {
+        if lead.backups.keys().any(is_in_this_zone) || now.since(lead.near_drawn) < SAME_ZONE_BACKUP_RETRY_DELAY {
             return;
         }
-        let counts = |d: &Daemon| lead.folder_of(d).is_some_and(|disk_id| lead.counts(d, disk_id));
-        let Some(next) = candidates.into_iter().find(|d| near(d) && counts(d)) else { return };
+        let is_counted = |d: &Daemon| lead.folder_of(d).is_some_and(|disk_id| lead.counts(d, disk_id));
+        let Some(next) = candidates.into_iter().find(|d| is_in_this_zone(d) && is_counted(d)) else { return };
         lead.near_drawn = now;
         lead.backups.insert(next, now);
         lead.asked = Time(0);
@@ -220,28 +221,28 @@
     /// write set.
     fn check_backups(&mut self, partition: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
-        let still = self.standstill.is_catching_up(now);
-        let (members, here) = (&self.link.members, &self.startup.me.zone);
-        let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *here);
+        let is_catching_up = self.standstill.is_catching_up(now);
+        let (members, this_zone) = (&self.link.members, &self.startup.me.zone);
+        let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *this_zone);
         let (mut to_copy, mut lost) = (Vec::new(), None);
         let Some(part) = self.partitions.get_mut(partition) else { return (to_copy, lost) };
         let Some(lead) = part.own.as_mut() else { return (to_copy, lost) };
-        let top = part.n;
+        let last_op = part.n;
         let patience = Patience { least: lead.patience_least.now(now), longest };
         for (backup, since) in lead.backups.clone() {
-            let is_empty = lead.has_lost_its_disk(&backup) && lead.has_other_backup(&backup, &self.startup.me.id, is_far);
+            let has_empty_disk = lead.has_lost_its_disk(&backup) && lead.has_other_backup(&backup, &self.startup.me.id, is_far);
             let peer = lead.peers.entry(backup.clone()).or_default();
-            let behind = peer.note_behind(top, now);
-            let quiet = !still && peer.is_silent(since, patience, now);
-            let leaves = lead.swap.as_ref().is_some_and(|s| s.0 == backup);
-            if (behind && quiet) || leaves || is_empty {
-                if lost.is_none() && !leaves && !is_empty {
+            let is_behind = peer.note_behind(last_op, now);
+            let is_silent = !is_catching_up && peer.is_silent(since, patience, now);
+            let is_leaving = lead.swap.as_ref().is_some_and(|s| s.0 == backup);
+            if (is_behind && is_silent) || is_leaving || has_empty_disk {
+                if lost.is_none() && !is_leaving && !has_empty_disk {
                     lead.patience_least.note_given_way(longest, now);
                 }
                 lost.get_or_insert(backup);
                 continue;
             }
-            if behind && now.since(peer.asked) > BACKUP_RETRY_DELAY {
+            if is_behind && now.since(peer.asked) > BACKUP_RETRY_DELAY {
                 peer.asked = now;
                 match peer.have {
                     None => to_copy.push(backup.clone()),
@@ -255,21 +256,21 @@
     /// Stores of the write set whose folder is not the one that counts, and the store
     /// that joins the set. A leader that waits for a copy in another zone copies to them
     /// too: one of them may be the only store there.
-    fn seats_to_copy_to(&mut self, partition: &PartitionId, now: Time) -> Vec<Daemon> {
+    fn stores_needing_copy(&mut self, partition: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return to_copy };
         if !lead.is_whole() {
             return to_copy;
         }
-        let joining = lead.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
-        for (store, disk_id) in lead.set.clone().into_iter().chain(joining) {
-            let disk = self.link.members.get(&store).map(|m| m.disk_id);
-            if store == self.startup.me.id || disk.is_none_or(|m| m == disk_id) {
+        let joining_seat = lead.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
+        for (store, counted_disk_id) in lead.set.clone().into_iter().chain(joining_seat) {
+            let current_disk_id = self.link.members.get(&store).map(|m| m.disk_id);
+            if store == self.startup.me.id || current_disk_id.is_none_or(|m| m == counted_disk_id) {
                 continue;
             }
-            let whole = lead.whole.get(&store) == disk.as_ref();
+            let is_complete = lead.whole.get(&store) == current_disk_id.as_ref();
             let peer = lead.peers.entry(store.clone()).or_default();
-            if !whole && now.since(peer.asked) > SEAT_COPY_RETRY_DELAY {
+            if !is_complete && now.since(peer.asked) > SEAT_COPY_RETRY_DELAY {
                 peer.asked = now;
                 to_copy.push(store);
             }
@@ -277,32 +278,34 @@
         to_copy
     }
 
-    /// Stores of the write set whose present folder is not the one that counts. A store
-    /// that is not a member at the moment is included.
+    /// Stores of the write set whose present folder is not the one that counts, or that
+    /// are no members any more. A member that is unreachable may come back with its
+    /// folder, so it is not among them.
     pub(super) fn seats_without_copy(&self, lead: &LeaderState) -> Vec<Daemon> {
-        let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
-        lead.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
+        let has_other_folder =
+            |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
+        lead.set.iter().filter(has_other_folder).map(|seat| seat.0.clone()).collect()
     }
 
     /// Records since when copies are missing, and logs it if that lasts.
     fn track_missing_copies(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
-        let (short, lacking) = (lead.short, self.seats_without_copy(lead));
-        let names: Vec<String> = lacking.iter().map(Daemon::to_string).collect();
-        let next = match short {
-            _ if lacking.is_empty() => None,
+        let (shortage, missing) = (lead.short, self.seats_without_copy(lead));
+        let names: Vec<String> = missing.iter().map(Daemon::to_string).collect();
+        let new_shortage = match shortage {
+            _ if missing.is_empty() => None,
             None => Some(ShortOfCopies { since: now, told: false }),
             Some(known) => Some(ShortOfCopies { told: known.told || now.since(known.since) > MISSING_COPIES_LOG_DELAY, ..known }),
         };
-        let (was_told, is_told) = (short.is_some_and(|s| s.told), next.is_some_and(|s| s.told));
-        if is_told && !was_told {
+        let (was_logged, is_logged) = (shortage.is_some_and(|s| s.told), new_shortage.is_some_and(|s| s.told));
+        if is_logged && !was_logged {
             self.log(LogEvent::TooFewCopies, format!("{partition} lacks {}", names.join(", ")));
         }
-        if was_told && next.is_none() {
+        if was_logged && new_shortage.is_none() {
             self.log(LogEvent::CopiesRestored, partition.to_string());
         }
         if let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) {
-            lead.short = next;
+            lead.short = new_shortage;
         }
     }
 
@@ -310,14 +313,14 @@
     fn fence_unfenced(&mut self, partition: &PartitionId, now: Time) {
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
         let me = &self.startup.me.id;
-        let unseen: Vec<Daemon> =
+        let unfenced: Vec<Daemon> =
             lead.set.iter().map(|seat| seat.0.clone()).filter(|d| d != me && !lead.fences.contains_key(d)).collect();
-        if lead.phase != Phase::Serving || unseen.is_empty() || now.since(lead.asked) <= FENCE_RETRY_DELAY {
+        if lead.phase != Phase::Serving || unfenced.is_empty() || now.since(lead.asked) <= FENCE_RETRY_DELAY {
             return;
         }
         lead.asked = now;
         let epoch = lead.epoch;
-        for store in unseen {
+        for store in unfenced {
             self.send(&store, PeerMessage::Fence { partition: partition.clone(), epoch });
         }
     }
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -13,7 +13,7 @@
 /// The requested bodies.
 #[derive(Default)]
 struct Bodies {
-    here: Vec<(MessageId, Bytes)>,
+    in_memory: Vec<(MessageId, Bytes)>,
     /// Ids of the bodies that have to be read from disk first.
     on_disk: Vec<MessageId>,
 }
@@ -52,8 +52,8 @@
         if self.read_bodies_for(&partition, &bodies.on_disk, waiter) {
             return;
         }
-        self.counts.bodies_sent += bodies.here.len() as u64;
-        self.send(&from, PeerMessage::Bodies { partition, epoch, entries: bodies.here });
+        self.counts.bodies_sent += bodies.in_memory.len() as u64;
+        self.send(&from, PeerMessage::Bodies { partition, epoch, entries: bodies.in_memory });
     }
 
     /// Sends the next part of a copy, once the bodies that go with it are in memory.
@@ -80,11 +80,11 @@
             return;
         }
         // Too much is being read back now. The peer asks again.
-        if bodies.here.is_empty() && !bodies.on_disk.is_empty() {
+        if bodies.in_memory.is_empty() && !bodies.on_disk.is_empty() {
             return;
         }
-        self.counts.bodies_sent += bodies.here.len() as u64;
-        let part = Box::new(self.partitions[&partition].copy_part(request.position, bodies.here));
+        self.counts.bodies_sent += bodies.in_memory.len() as u64;
+        let part = Box::new(self.partitions[&partition].copy_part(request.position, bodies.in_memory));
         if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
             lead.note_copying(from.clone(), part.last_op, now);
         }
@@ -102,7 +102,7 @@
                 continue;
             };
             match self.body_of(partition, id) {
-                Body::InMemory(body) => bodies.here.push((id.clone(), body)),
+                Body::InMemory(body) => bodies.in_memory.push((id.clone(), body)),
                 Body::OnDisk => bodies.on_disk.push(id.clone()),
                 Body::Corrupt => {
                     self.on_corrupt_body(partition, id, now);
@@ -142,8 +142,8 @@
             true => self.records_after(from.as_ref().map(|at| &at.last_id)),
             false => (Vec::new(), false),
         };
-        let known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.last_id);
-        let ops = ops.into_iter().filter(known).collect();
+        let is_known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.last_id);
+        let ops = ops.into_iter().filter(is_known).collect();
         CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next, complete }
     }
 
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -50,15 +50,15 @@
         let Some(Departure { since, seats }) = self.departure else { return };
         self.mark_all_for_release(now);
         let waited = now.since(since);
-        let idle = self.partitions.values().all(|part| part.own.is_none());
-        let answered = waited >= ANSWER_DELIVERY_TIME && !self.link.is_pull_due(now);
-        let kept = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
-        let free = match seats {
+        let leads_nothing = self.partitions.values().all(|part| part.own.is_none());
+        let has_answered = waited >= ANSWER_DELIVERY_TIME && !self.link.is_pull_due(now);
+        let is_taken_over = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
+        let may_leave_seats = match seats {
             SeatMoves::Unknown => waited > PLACEMENT_ANSWER_TIMEOUT,
             SeatMoves::Moving => false,
             SeatMoves::NoneLeft => true,
         };
-        if (idle && answered && kept && free) || waited > MAX_DEPARTURE_TIME {
+        if (leads_nothing && has_answered && is_taken_over && may_leave_seats) || waited > MAX_DEPARTURE_TIME {
             self.effects.push(Effect::Exit);
         }
     }
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -24,7 +24,8 @@
     /// Whether the other stores of a write set are a majority and can open a new epoch
     /// without this one.
     pub(super) fn has_majority_without_this_store(&self, write_set: &[(Daemon, IncarnationId)]) -> bool {
-        let others = write_set.iter().filter(|(d, _)| *d != self.startup.me.id && self.link.members.contains_key(d)).count();
+        let others =
+            write_set.iter().filter(|(store, _)| *store != self.startup.me.id && self.link.members.contains_key(store)).count();
         others > write_set.len() / 2
     }
 
@@ -33,13 +34,13 @@
         if !self.must_release_partitions(now) {
             return;
         }
-        let spared: Vec<PartitionId> = self
+        let releasable: Vec<PartitionId> = self
             .partitions
             .iter()
             .filter(|(_, part)| part.own.as_ref().is_some_and(|lead| self.has_majority_without_this_store(&lead.set)))
             .map(|(partition, _)| partition.clone())
             .collect();
-        for partition in spared {
+        for partition in releasable {
             if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
                 lead.shed.get_or_insert(now);
             }
@@ -50,7 +51,7 @@
     /// are released. Reported earlier, placement would take a claim that is still live
     /// for a released one.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
-        let leads = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
-        self.must_release_partitions(now) && !leads && self.partitions.values().all(|part| part.own.is_none())
+        let has_lease = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
+        self.must_release_partitions(now) && !has_lease && self.partitions.values().all(|part| part.own.is_none())
     }
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -71,14 +71,14 @@
         in_flight: &[InFlightAttempt],
         now: Time,
     ) {
-        let old = self.routed_capacity.get(from);
-        let overtaken = |t: &RoutedCapacityReport| t.incarnation == capacity.incarnation && t.requested_at > requested_at;
-        if old.is_some_and(|t| overtaken(t) || t.earlier_incarnations.contains(&capacity.incarnation)) {
+        let previous = self.routed_capacity.get(from);
+        let is_overtaken = |t: &RoutedCapacityReport| t.incarnation == capacity.incarnation && t.requested_at > requested_at;
+        if previous.is_some_and(|t| is_overtaken(t) || t.earlier_incarnations.contains(&capacity.incarnation)) {
             return;
         }
         self.dispatch_needed = true;
-        let mut earlier_incarnations = old.map(|t| t.earlier_incarnations.clone()).unwrap_or_default();
-        if let Some(incarnation) = old.map(|t| t.incarnation).filter(|incarnation| *incarnation != capacity.incarnation) {
+        let mut earlier_incarnations = previous.map(|t| t.earlier_incarnations.clone()).unwrap_or_default();
+        if let Some(incarnation) = previous.map(|t| t.incarnation).filter(|incarnation| *incarnation != capacity.incarnation) {
             earlier_incarnations.push(incarnation);
             earlier_incarnations.drain(..earlier_incarnations.len().saturating_sub(MAX_EARLIER_INCARNATIONS));
             self.end_attempts_of_earlier_incarnations(from, capacity.incarnation, now);
@@ -102,13 +102,13 @@
     /// A delivery has restarted: the attempts of its earlier incarnation are over, and
     /// may have run.
     fn end_attempts_of_earlier_incarnations(&mut self, from: &Daemon, incarnation: IncarnationId, now: Time) {
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (partition, part) in &self.partitions {
             let Some(lead) = part.own.as_ref() else { continue };
-            let stale = lead.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != incarnation);
-            over.extend(stale.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.lane.ids.get(seq)?.clone()))));
+            let of_earlier = lead.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != incarnation);
+            ended.extend(of_earlier.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.lane.ids.get(seq)?.clone()))));
         }
-        for (partition, seq, id) in over {
+        for (partition, seq, id) in ended {
             if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
                 lead.lane.flights.remove(&seq);
             }
@@ -126,34 +126,34 @@
         in_flight: &[InFlightAttempt],
         now: Time,
     ) {
-        let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
+        let deliveries: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         for (partition, epoch) in partitions {
             let Some(part) = self.partitions.get_mut(partition) else { continue };
             let Some(lead) = part.own.as_mut() else { continue };
             if lead.epoch != *epoch || lead.phase != Phase::Serving || lead.quiet <= now {
                 continue;
             }
-            let held = in_flight
+            let claimed = in_flight
                 .iter()
                 .filter(|h| h.partition == *partition)
                 .filter_map(|h| part.recs.get(&h.id))
                 .map(|record| record.head.seq);
-            lead.vouched.insert(from.clone(), held.collect());
-            if !all.iter().all(|d| lead.vouched.contains_key(*d)) {
+            lead.vouched.insert(from.clone(), claimed.collect());
+            if !deliveries.iter().all(|d| lead.vouched.contains_key(*d)) {
                 continue;
             }
-            let held: BTreeSet<u64> = lead.vouched.values().flatten().copied().collect();
+            let claimed: BTreeSet<u64> = lead.vouched.values().flatten().copied().collect();
             let quiet = lead.quiet;
             for due in lead.lane.posts.values_mut() {
-                let over = |one: &(Time, u64)| one.0 == quiet && !held.contains(&one.1);
-                let over: Vec<u64> = due.iter().filter(over).map(|one| one.1).collect();
-                for seq in over {
+                let unclaimed = |entry: &(Time, u64)| entry.0 == quiet && !claimed.contains(&entry.1);
+                let unclaimed: Vec<u64> = due.iter().filter(unclaimed).map(|entry| entry.1).collect();
+                for seq in unclaimed {
                     due.put_off(seq, now);
                 }
             }
             for set in lead.lane.calls.values_mut() {
-                let rest: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !held.contains(s)).map(|x| x.1).collect();
-                for seq in rest {
+                let unclaimed: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !claimed.contains(s)).map(|x| x.1).collect();
+                for seq in unclaimed {
                     set.remove(&(quiet, seq));
                     set.insert((now, seq));
                 }
@@ -167,8 +167,8 @@
         if self.routed_capacity.is_empty() || self.link.rules.spool == 0 {
             return;
         }
-        if self.routes_checked != self.link.rules.version {
-            self.routes_checked = self.link.rules.version;
+        if self.routes_checked_version != self.link.rules.version {
+            self.routes_checked_version = self.link.rules.version;
             self.expire_routed(now);
         }
         let mut in_flight: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
@@ -233,20 +233,20 @@
         now: Time,
     ) -> Option<(Daemon, Time, IncarnationId)> {
         let zone = &self.startup.me.zone;
-        let spare = |d: &Daemon, t: &RoutedCapacityReport| {
-            let most = match destination {
+        let spare_capacity = |d: &Daemon, t: &RoutedCapacityReport| {
+            let limit = match destination {
                 Destination::Service(s) => t.services.get(s).copied().unwrap_or(0),
                 Destination::Address(a) if t.addresses.contains(&Duty::for_unlisted_address(a)) => MAX_CALLBACKS_PER_ADDRESS,
                 Destination::Address(_) => 0,
             };
-            most.saturating_sub(in_flight.get(&(destination.clone(), d.clone())).copied().unwrap_or(0))
+            limit.saturating_sub(in_flight.get(&(destination.clone(), d.clone())).copied().unwrap_or(0))
         };
-        let fit = self.routed_capacity.iter().filter(|(_, t)| now.since(t.received_at) < MAX_ROUTED_CAPACITY_AGE);
-        let best = fit
-            .map(|(d, t)| (spare(d, t), d, t))
+        let current = self.routed_capacity.iter().filter(|(_, t)| now.since(t.received_at) < MAX_ROUTED_CAPACITY_AGE);
+        let chosen = current
+            .map(|(d, t)| (spare_capacity(d, t), d, t))
             .filter(|x| x.0 > 0)
-            .max_by_key(|(s, d, _)| (self.link.zone_of(d) == Some(zone), *s, std::cmp::Reverse(*d)))?;
-        Some((best.1.clone(), best.2.requested_at, best.2.incarnation))
+            .max_by_key(|(spare, d, _)| (self.link.zone_of(d) == Some(zone), *spare, std::cmp::Reverse(*d)))?;
+        Some((chosen.1.clone(), chosen.2.requested_at, chosen.2.incarnation))
     }
 
     /// Takes the next due message of a queue and records its attempt.
@@ -386,7 +386,7 @@
         if lead.won.contains(&seq) {
             return self.release_deferred_success(partition, id, now);
         }
-        let double = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
+        let backoff = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
         match record.stage {
             Stage::Pending => {
                 let Some(route) = self.link.rules.routes.get(&record.head.route) else {
@@ -398,27 +398,27 @@
                     let next = stage_after_work(record, Outcome::GivenUp);
                     return self.set_stage(partition, id, next, None, now);
                 }
-                let pause = match outcome {
-                    AttemptOutcome::Failed => double(FAILED_RETRY_DELAY, record.tries - 1, MAX_FAILED_RETRY_DELAY),
+                let delay = match outcome {
+                    AttemptOutcome::Failed => backoff(FAILED_RETRY_DELAY, record.tries - 1, MAX_FAILED_RETRY_DELAY),
                     AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
                     // A message that always exceeds its time must not take a worker's
                     // slot again and again.
                     _ => {
-                        let pause =
+                        let delay =
                             Span((UNKNOWN_OUTCOME_RETRY_DELAY.0 << record.doubts.min(12)).min(MAX_UNKNOWN_OUTCOME_RETRY_DELAY.0));
                         record.doubts += 1;
-                        pause
+                        delay
                     }
                 };
-                lead.lane.post(&record.head.route, &record.head.key, now + pause, seq);
+                lead.lane.post(&record.head.route, &record.head.key, now + delay, seq);
             }
             Stage::EndedAwaitingCallback(_) => {
-                let pause = match outcome {
+                let delay = match outcome {
                     AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
-                    _ => double(CALLBACK_RETRY_DELAY, record.tries, MAX_CALLBACK_RETRY_DELAY),
+                    _ => backoff(CALLBACK_RETRY_DELAY, record.tries, MAX_CALLBACK_RETRY_DELAY),
                 };
                 record.tries += u32::from(outcome != AttemptOutcome::NotStarted);
-                lead.lane.calls.entry(record.head.callback.clone()).or_default().insert((now + pause, seq));
+                lead.lane.calls.entry(record.head.callback.clone()).or_default().insert((now + delay, seq));
             }
             Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
@@ -428,22 +428,22 @@
     /// outlived the route's limit. Those in flight end with their attempt.
     pub(super) fn expire_routed(&mut self, now: Time) {
         let rules = &self.link.rules;
-        let mut stale: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
+        let mut expired: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
         for (partition, part) in self.partitions.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
             let Some(lead) = part.own.as_ref() else { continue };
-            for (name, due) in &lead.lane.posts {
-                let route = rules.routes.get(name);
+            for (route_name, due) in &lead.lane.posts {
+                let route = rules.routes.get(route_name);
                 for (_, seq) in due.iter() {
                     let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
                     // A message whose success is deferred has not expired.
-                    let open = !lead.won.contains(&seq) && !lead.lane.rests(seq, lead.quiet, now);
-                    if route.is_none_or(|x| now.since(record.taken) > x.worth) && open {
-                        stale.push((partition.clone(), record.head.id.clone(), stage_after_work(record, Outcome::Expired)));
+                    let may_expire = !lead.won.contains(&seq) && !lead.lane.rests(seq, lead.quiet, now);
+                    if route.is_none_or(|x| now.since(record.taken) > x.worth) && may_expire {
+                        expired.push((partition.clone(), record.head.id.clone(), stage_after_work(record, Outcome::Expired)));
                     }
                 }
             }
         }
-        for (partition, id, next) in stale {
+        for (partition, id, next) in expired {
             if let Some(part) = self.partitions.get_mut(&partition) {
                 let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(&id)) else { continue };
                 if let Some(due) = lead.lane.posts.get_mut(&record.head.route) {
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -3,8 +3,8 @@
 use super::BodyWaiter;
 use crate::prelude::*;
 
-/// A replica without a leader drops ended records this much later than a leader would.
-const UNLED_RETENTION_MARGIN: Span = Span::secs(30);
+/// A replica drops ended records by itself this much later than its leader would.
+const REPLICA_RETENTION_MARGIN: Span = Span::secs(30);
 /// Bytes of the oldest file that are rewritten in one second at most.
 const MAX_REWRITE_BYTES: u64 = 2 << 20;
 
@@ -20,7 +20,7 @@
             let Some(lead) = part.own.as_mut() else { continue };
             // Deferred successes whose other attempts are over by now.
             let (quiet, lane) = (lead.quiet, &lead.lane);
-            let settled: Vec<MessageId> = lead
+            let to_release: Vec<MessageId> = lead
                 .won
                 .iter()
                 .filter(|s| !lane.flights.contains_key(s) && !lane.rests(**s, quiet, now))
@@ -47,7 +47,7 @@
                     _ => {}
                 }
             }
-            for id in settled {
+            for id in to_release {
                 self.release_deferred_success(&partition, &id, now);
             }
             for id in stranded {
@@ -61,25 +61,25 @@
             }
         }
         self.expire_routed(now);
-        self.drop_unled_records(now);
+        self.drop_old_replica_records(now);
         self.track_unserved_duties(now);
         self.rewrite_oldest_file();
     }
 
-    /// A replica that no leader maintains receives no removals. It drops its ended
-    /// records by itself, later than any leader would.
-    fn drop_unled_records(&mut self, now: Time) {
+    /// Removes old records from replicas. One that no leader maintains receives no
+    /// removals, so each drops its ended records by itself, later than any leader would.
+    fn drop_old_replica_records(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         if retain == Span::ZERO {
             return;
         }
         for (partition, part) in self.partitions.iter_mut().filter(|(_, part)| part.own.is_none() && part.fetch.is_none()) {
-            let past = |record: &Rec| {
-                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended) > retain + UNLED_RETENTION_MARGIN
+            let is_past_retention = |record: &Rec| {
+                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended) > retain + REPLICA_RETENTION_MARGIN
             };
-            let old: Vec<MessageId> =
-                part.recs.iter().filter(|(_, record)| past(record)).map(|(id, _)| id.clone()).take(1000).collect();
-            for id in old {
+            let expired: Vec<MessageId> =
+                part.recs.iter().filter(|(_, record)| is_past_retention(record)).map(|(id, _)| id.clone()).take(1000).collect();
+            for id in expired {
                 self.held_bytes += part.drop(partition, &id, &mut self.ledger);
                 self.ledger.push(Line::Op { place: partition.clone(), n: part.n, op: PartitionOp::Remove(id) });
             }
@@ -106,8 +106,8 @@
     pub(super) fn unreachable_duties(&self, now: Time) -> Vec<Duty> {
         let unserved = self.unserved_since.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
         // A delivery always reports an attempt's end, so one that does not is cut off.
-        // Moving an endpoint uses up rate limit of its new holder, so an endpoint needs
-        // two such attempts.
+        // Moving an endpoint costs the rate share of the delivery that takes it over, so an
+        // endpoint needs two such attempts.
         let min_unreported = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
         let unreported = self.unreported_in_a_row.iter().filter(|(d, n)| **n >= min_unreported(d)).map(|(d, _)| d.clone());
         unserved.chain(unreported).collect::<BTreeSet<Duty>>().into_iter().collect()
@@ -118,8 +118,8 @@
     fn rewrite_oldest_file(&mut self) {
         // A record's lines take some space beyond its body.
         let count: usize = self.partitions.values().map(|part| part.recs.len()).sum();
-        let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
-        let Some((first, last)) = self.ledger.sparse(live) else { return };
+        let live_bytes = self.held_bytes.max(0) as u64 + count as u64 * 400;
+        let Some((first, last)) = self.ledger.sparse(live_bytes) else { return };
         let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
         for (partition, part) in &self.partitions {
@@ -128,8 +128,8 @@
                 if size > MAX_REWRITE_BYTES {
                     break;
                 }
-                let set = if record.bytes().is_some() { &mut in_memory } else { &mut on_disk };
-                set.push((partition.clone(), record.head.id.clone()));
+                let list = if record.bytes().is_some() { &mut in_memory } else { &mut on_disk };
+                list.push((partition.clone(), record.head.id.clone()));
             }
         }
         for (partition, id) in in_memory {
