--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -60,7 +60,7 @@
             let (installed, n) = (part.installed, part.n);
             return self.send(&from, PeerMessage::AppendGap { partition, epoch, installed_epoch: installed, last_op: n });
         }
-        let home = self.ledger.next();
+        let file_version = self.ledger.next();
         for (at, op) in ops.into_iter().enumerate() {
             let n = first + at as u64;
             if n <= part.n {
@@ -71,7 +71,7 @@
                     break;
                 }
             }
-            self.held_bytes += part.apply(&partition, &op, home, now, &mut self.ledger);
+            self.held_bytes += part.apply(&partition, &op, file_version, now, &mut self.ledger);
             self.body_cache.insert_op(&partition, &op);
             part.n = n;
             self.ledger.push(Line::Op { place: partition.clone(), n, op });
