--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -10,35 +10,35 @@
 use crate::prelude::*;
 
 /// A store without a seat that came up within this time is a successor.
-const SUCCESSOR_WITHIN: Span = Span::secs(30);
+const SUCCESSOR_PERIOD: Span = Span::secs(30);
 
 impl Placement {
     /// Whether a store's seats move because it was told to stop.
-    pub(super) fn departing(&self, store: &Daemon) -> bool {
+    pub(super) fn is_departing(&self, store: &Daemon) -> bool {
         self.replacements.departing.contains(store)
     }
 
     /// Whether a store last said that it was told to stop. One that is back
     /// from a restart says so no more.
-    fn stopping(&self, store: &Daemon) -> bool {
-        let report = self.seen.get(store).and_then(|seen| seen.report.as_ref());
+    fn is_stopping(&self, store: &Daemon) -> bool {
+        let report = self.daemons.get(store).and_then(|seen| seen.report.as_ref());
         report.is_some_and(|report| report.stopping)
     }
 
-    fn successor_is_there(&self, now: Time) -> bool {
-        let recent = |store: &Daemon| self.seen.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_WITHIN);
+    fn has_successor(&self, now: Time) -> bool {
+        let recent = |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
         let mut stores = self.hard.of(DaemonKind::Store).map(|member| &member.id);
-        stores.any(|store| recent(store) && self.live(store, now) && self.seats_of(store) == 0)
+        stores.any(|store| recent(store) && self.is_live(store, now) && self.seat_count(store) == 0)
     }
 
     /// Notes which stores stop. One that was given a successor keeps it when
     /// that one has taken its first seat, and after it has gone silent.
-    pub(super) fn mark_departing(&mut self, now: Time) {
+    pub(super) fn update_departing(&mut self, now: Time) {
         let stopping: BTreeSet<Daemon> =
-            self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.stopping(store)).collect();
+            self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.is_stopping(store)).collect();
         self.replacements.departing.retain(|store| stopping.contains(store));
-        if stopping.len() > self.replacements.departing.len() && self.successor_is_there(now) {
-            let seated = stopping.into_iter().filter(|store| self.seats_of(store) > 0).collect::<Vec<_>>();
+        if stopping.len() > self.replacements.departing.len() && self.has_successor(now) {
+            let seated = stopping.into_iter().filter(|store| self.seat_count(store) > 0).collect::<Vec<_>>();
             self.replacements.departing.extend(seated);
         }
     }
@@ -47,11 +47,11 @@
     /// not heard everybody yet can't know; the store bounds its wait.
     pub(super) fn answer_departure(&mut self, store: &Daemon, now: Time) {
         if self.office == Office::Serving {
-            self.mark_departing(now);
+            self.update_departing(now);
         }
         let seated = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
         let mut places = self.hard.layout.iter().filter(|(_, set)| seated(set)).map(|(place, _)| place);
-        let wait = places.any(|place| self.office != Office::Serving || self.wanted_swap(place, now).is_some());
-        self.say(store, PeerMessage::Departure { term: self.election.term(), wait });
+        let wait = places.any(|place| self.office != Office::Serving || self.wanted_replacement(place, now).is_some());
+        self.send(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -1,31 +1,31 @@
 //! Retiring whole storage machines: the store on one and a placement vote
 //! beside it.
-use super::asks::wrong;
+use super::operator_requests::error_response;
 use crate::prelude::*;
 use serde_json::json;
 
 impl Placement {
     /// The store that runs on a machine.
-    fn store_on(&self, machine: &str) -> Option<&Member> {
+    fn store_on_machine(&self, machine: &str) -> Option<&Member> {
         self.hard.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
     }
 
     /// Takes the order to empty a machine; the same order again is
     /// acknowledged again.
     pub(super) fn retire_machine(&mut self, id: RequestId, machine: &str, now: Time) -> Option<ApiResponse> {
-        let Some(store) = self.store_on(machine).map(|m| m.id.clone()) else { return Some(unknown_machine()) };
-        self.retire(id, store, now)
+        let Some(store) = self.store_on_machine(machine).map(|m| m.id.clone()) else { return Some(unknown_machine_response()) };
+        self.retire_store(id, store, now)
     }
 
     /// How far a machine's retirement is. `gone` is told only when nothing on
     /// it counts any more: no seat in a write set, and no vote.
-    pub(super) fn retirement(&self, machine: &str) -> ApiResponse {
-        let Some(store) = self.store_on(machine) else { return unknown_machine() };
+    pub(super) fn retirement_status(&self, machine: &str) -> ApiResponse {
+        let Some(store) = self.store_on_machine(machine) else { return unknown_machine_response() };
         let Some(state) = self.hard.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
-            return wrong(404, "this machine was not asked to retire; ask it to first");
+            return error_response(404, "this machine was not asked to retire; ask it to first");
         };
-        let seats = self.seats_of(&store.id);
-        let votes = self.votes_on(host_of(&store.addr));
+        let seats = self.seat_count(&store.id);
+        let votes = self.may_vote_on_host(host_of(&store.addr));
         let gone = *state == Retirement::Done && seats == 0 && !votes;
         let word = if gone { "gone" } else { "leaving" };
         ApiResponse::json(200, json!({"machine": machine, "retirement": word, "seats_left": seats, "votes": votes}).to_string())
@@ -33,18 +33,18 @@
 
     /// The hosts of retiring stores; their placement votes have to move too.
     pub fn retiring_hosts(&self) -> BTreeSet<String> {
-        let stores = self.hard.of(DaemonKind::Store).filter(|m| self.retiring(&m.id));
+        let stores = self.hard.of(DaemonKind::Store).filter(|m| self.is_retiring(&m.id));
         stores.map(|m| host_of(&m.addr).to_string()).collect()
     }
 
     /// Whether a voting placement replica runs on a host, or may still count
     /// as one: until a configuration without it is committed.
-    fn votes_on(&self, host: &str) -> bool {
+    fn may_vote_on_host(&self, host: &str) -> bool {
         let named = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
         named || !self.election.membership_settled()
     }
 }
 
-fn unknown_machine() -> ApiResponse {
-    wrong(404, "no store runs on a machine of that name; check it with 'dahliawick status'")
+fn unknown_machine_response() -> ApiResponse {
+    error_response(404, "no store runs on a machine of that name; check it with 'dahliawick status'")
 }
