--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -26,9 +26,10 @@
     }
 
     fn has_successor(&self, now: Time) -> bool {
-        let recent = |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
+        let started_recently =
+            |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
         let mut stores = self.hard.of(DaemonKind::Store).map(|member| &member.id);
-        stores.any(|store| recent(store) && self.is_live(store, now) && self.seat_count(store) == 0)
+        stores.any(|store| started_recently(store) && self.is_live(store, now) && self.seat_count(store) == 0)
     }
 
     /// Notes which stores stop. One that was given a successor keeps it when
@@ -49,9 +50,10 @@
         if self.office == Office::Serving {
             self.update_departing(now);
         }
-        let seated = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
-        let mut places = self.hard.layout.iter().filter(|(_, set)| seated(set)).map(|(place, _)| place);
-        let wait = places.any(|place| self.office != Office::Serving || self.wanted_replacement(place, now).is_some());
+        let has_seat = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
+        let mut partitions = self.hard.layout.iter().filter(|(_, set)| has_seat(set)).map(|(partition, _)| partition);
+        let wait =
+            partitions.any(|partition| self.office != Office::Serving || self.wanted_replacement(partition, now).is_some());
         self.send(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -11,51 +11,58 @@
 const RETRY_AFTER: Span = Span::millis(300);
 
 /// Whether an order is a patch of a configuration or a whole one.
-pub(super) fn order_kind(patch: bool) -> OrderKind {
-    match patch {
+pub(super) fn order_kind(is_patch: bool) -> OrderKind {
+    match is_patch {
         true => OrderKind::Patch,
         false => OrderKind::Whole,
     }
 }
 
 impl Placement {
-    pub(super) fn revise_config(&mut self, id: RequestId, base: u64, json: &str, part: bool, now: Time) -> Option<ApiResponse> {
-        let op = OperationId::numbered(order_kind(part), base, json);
+    pub(super) fn revise_config(
+        &mut self,
+        id: RequestId,
+        base: u64,
+        json: &str,
+        is_patch: bool,
+        now: Time,
+    ) -> Option<ApiResponse> {
+        let op = OperationId::numbered(order_kind(is_patch), base, json);
         let known = self.hard.operations.known(&op, None);
         if let Known::Done(version) = known {
             return Some(operation_done(version, &op));
         }
-        if let Some(all) = self.waiting_requests(&op) {
-            if all.len() >= MAX_WAITING_REQUESTS {
+        if let Some(ids) = self.waiting_requests(&op) {
+            if ids.len() >= MAX_WAITING_REQUESTS {
                 return Some(retry_later("this order is under way; ask again"));
             }
-            all.push(id);
+            ids.push(id);
             return None;
         }
         if base != self.rules.revision && known == Known::Unknown {
-            return Some(self.unrecorded_response(&op, json, part, now));
+            return Some(self.unrecorded_response(&op, json, is_patch, now));
         }
         if base != self.rules.revision {
             return Some(self.stale_revision_response(self.hard.config_version));
         }
-        let canon = match self.canonical_revision(json, part, now) {
+        let canonical = match self.canonical_revision(json, is_patch, now) {
             Ok(json) => json,
-            Err(ConfigRejection::Later(why)) => return Some(retry_later(why)),
-            Err(ConfigRejection::Wrong(e)) => {
+            Err(ConfigRejection::RetryLater(reason)) => return Some(retry_later(reason)),
+            Err(ConfigRejection::Invalid(e)) => {
                 self.log(LogEvent::ConfigRefused, e.to_string());
                 return Some(config_error_response(&e));
             }
         };
-        let order = Order::Config { op: op.clone(), request: None, base: self.hard.config_version, json: canon };
-        self.propose(order, ProposalOrigin::Revision(vec![id], op), now);
+        let order = Order::Config { op: op.clone(), request: None, base: self.hard.config_version, json: canonical };
+        self.propose(order, ProposalOrigin::NumberedConfigRequests(vec![id], op), now);
         None
     }
 
     /// The answer to an order on a base so old that its record may be gone:
     /// a whole configuration that is in force was taken, of any other it can't
     /// be known.
-    fn unrecorded_response(&self, op: &OperationId, json: &str, part: bool, now: Time) -> ApiResponse {
-        if !part && self.is_in_force(json, now) {
+    fn unrecorded_response(&self, op: &OperationId, json: &str, is_patch: bool, now: Time) -> ApiResponse {
+        if !is_patch && self.is_in_force(json, now) {
             return operation_done(self.hard.config_version, op);
         }
         retry_later("this order is older than the records; whether it was taken is unknown; read the configuration")
@@ -63,31 +70,31 @@
 
     /// Whether a whole configuration is the very one in force.
     fn is_in_force(&self, json: &str, now: Time) -> bool {
-        let Ok(mut whole) = dw_config::check::read(json) else { return false };
-        if self.assign_spool_partitions(&mut whole, now).is_err() {
+        let Ok(mut config) = dw_config::check::read(json) else { return false };
+        if self.assign_spool_partitions(&mut config, now).is_err() {
             return false;
         }
-        canonical_json(&whole).is_ok_and(|text| text == self.hard.config)
+        canonical_json(&config).is_ok_and(|text| text == self.hard.config)
     }
 
     /// Those who wait for an order that is under way.
     fn waiting_requests(&mut self, op: &OperationId) -> Option<&mut Vec<RequestId>> {
         self.proposals.values_mut().find_map(|(_, p)| match p {
-            ProposalOrigin::Revision(all, o) if o == op => Some(all),
+            ProposalOrigin::NumberedConfigRequests(ids, o) if o == op => Some(ids),
             _ => None,
         })
     }
 
     /// The canonical form of a numbered configuration that may follow the one in force.
-    fn canonical_revision(&self, json: &str, part: bool, now: Time) -> Result<String, ConfigRejection> {
-        let read = match part {
+    fn canonical_revision(&self, json: &str, is_patch: bool, now: Time) -> Result<String, ConfigRejection> {
+        let read = match is_patch {
             false => dw_config::check::read(json),
             true => self.current_config().and_then(|c| patch(&c, json)),
         };
-        let mut c = read.map_err(ConfigRejection::Wrong)?;
+        let mut c = read.map_err(ConfigRejection::Invalid)?;
         self.assign_spool_partitions(&mut c, now)?;
-        self.validate_config(&c, true).map_err(ConfigRejection::Wrong)?;
-        canonical_json(&c).map_err(ConfigRejection::Wrong)
+        self.validate_config(&c, true).map_err(ConfigRejection::Invalid)?;
+        canonical_json(&c).map_err(ConfigRejection::Invalid)
     }
 
     /// The configuration in force; an empty one when there is none.
@@ -110,7 +117,9 @@
         let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.last_store_joined_at) < STORE_JOIN_QUIET_PERIOD {
-            return Err(ConfigRejection::Later("the stores are still coming in, three in two zones are needed; send it again"));
+            return Err(ConfigRejection::RetryLater(
+                "the stores are still coming in, three in two zones are needed; send it again",
+            ));
         }
         let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
@@ -128,8 +137,8 @@
 
 /// Why a configuration can't be taken, now or at all.
 pub(super) enum ConfigRejection {
-    Later(&'static str),
-    Wrong(ConfigError),
+    RetryLater(&'static str),
+    Invalid(ConfigError),
 }
 
 pub(super) fn canonical_json(c: &Config) -> Result<String, ConfigError> {
@@ -140,6 +149,6 @@
     Ok(json)
 }
 
-pub(super) fn retry_later(why: &str) -> ApiResponse {
-    ApiResponse { retry_after: Some(RETRY_AFTER), ..error_response(503, why) }
+pub(super) fn retry_later(reason: &str) -> ApiResponse {
+    ApiResponse { retry_after: Some(RETRY_AFTER), ..error_response(503, reason) }
 }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -25,8 +25,8 @@
 /// names the joiner itself, which has no seat yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Replacement {
-    pub out: Daemon,
-    pub joiner: Daemon,
+    pub removed: Daemon,
+    pub added: Daemon,
     /// Distinguishes this replacement from an earlier one of the same stores:
     /// a copy counts only if it was made under this very number.
     pub number: Version,
@@ -37,37 +37,37 @@
 pub(super) struct Replacements {
     /// Since when this primary has listened without a break. A primary that
     /// was frozen or cut off heard nobody, which says nothing about them.
-    listening: Time,
+    listening_since: Time,
     last_round: Time,
     /// Stores taken for gone until they are heard again.
     absent: BTreeSet<Daemon>,
     /// Stores that were told to stop and whose seats a successor takes.
     pub departing: BTreeSet<Daemon>,
-    swaps: BTreeMap<PartitionId, Replacement>,
-    count: u64,
+    active: BTreeMap<PartitionId, Replacement>,
+    last_number: u64,
 }
 
 impl Replacements {
     pub fn new(now: Time) -> Replacements {
         Replacements {
-            listening: now,
+            listening_since: now,
             last_round: now,
             absent: BTreeSet::new(),
             departing: BTreeSet::new(),
-            swaps: BTreeMap::new(),
-            count: 0,
+            active: BTreeMap::new(),
+            last_number: 0,
         }
     }
-    pub fn swap(&self, place: &PartitionId) -> Option<&Replacement> {
-        self.swaps.get(place)
+    pub fn get(&self, partition: &PartitionId) -> Option<&Replacement> {
+        self.active.get(partition)
     }
     /// Whether no seat has to move on account of stores that are gone.
-    fn idle(&self) -> bool {
-        self.absent.is_empty() && self.departing.is_empty() && self.swaps.is_empty()
+    fn is_idle(&self) -> bool {
+        self.absent.is_empty() && self.departing.is_empty() && self.active.is_empty()
     }
-    fn listen(&mut self, now: Time) {
+    fn record_round(&mut self, now: Time) {
         if now.since(self.last_round) > MAX_ROUND_GAP {
-            self.listening = now;
+            self.listening_since = now;
         }
         self.last_round = now;
     }
@@ -76,7 +76,7 @@
 impl Placement {
     /// One round: who is gone, which seats move, who is forgotten.
     pub(super) fn replace_stores(&mut self, now: Time) {
-        self.replacements.listen(now);
+        self.replacements.record_round(now);
         self.update_absent(now);
         self.update_departing(now);
         self.choose_replacements(now);
@@ -86,8 +86,8 @@
 
     /// For how long a daemon was not heard while this primary listened.
     pub(super) fn silent_for(&self, daemon: &Daemon, now: Time) -> Span {
-        let heard = self.daemons.get(daemon).map_or(Time(0), |s| s.at);
-        now.since(heard.max(self.replacements.listening))
+        let last_contact = self.daemons.get(daemon).map_or(Time(0), |s| s.at);
+        now.since(last_contact.max(self.replacements.listening_since))
     }
 
     /// Whether a store is taken for gone.
@@ -96,22 +96,22 @@
     }
 
     fn update_absent(&mut self, now: Time) {
-        let newcomer = |m: &Member| {
-            let recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.since) < NEWCOMER_PERIOD);
-            recent && self.is_live(&m.id, now) && self.seat_count(&m.id) == 0
+        let is_newcomer = |m: &Member| {
+            let is_recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.since) < NEWCOMER_PERIOD);
+            is_recent && self.is_live(&m.id, now) && self.seat_count(&m.id) == 0
         };
-        let patience = match self.hard.of(DaemonKind::Store).any(newcomer) {
+        let timeout = match self.hard.of(DaemonKind::Store).any(is_newcomer) {
             true => ABSENT_AFTER_WITH_NEWCOMER,
             false => ABSENT_AFTER_WITHOUT_NEWCOMER,
         };
-        let lively = self.liveness_window();
+        let liveness_window = self.liveness_window();
         let stores: Vec<Daemon> = self.hard.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
         self.replacements.absent.retain(|d| stores.contains(d));
         for store in stores {
             let silence = self.silent_for(&store, now);
-            if silence > patience {
+            if silence > timeout {
                 self.replacements.absent.insert(store);
-            } else if silence < lively {
+            } else if silence < liveness_window {
                 self.replacements.absent.remove(&store);
             }
         }
@@ -120,29 +120,30 @@
     /// Decides for each partition which seat moves, and tells its leader of
     /// each change at once.
     fn choose_replacements(&mut self, now: Time) {
-        let width = self.target_write_set_size(now);
-        let narrow = self.hard.layout.values().any(|set| set.len() < width);
-        if self.replacements.idle() && self.hard.retiring.is_empty() && !narrow {
+        let size = self.target_write_set_size(now);
+        let any_too_small = self.hard.layout.values().any(|set| set.len() < size);
+        if self.replacements.is_idle() && self.hard.retiring.is_empty() && !any_too_small {
             return;
         }
-        let places: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
-        for place in places {
-            let stands = self.replacements.swaps.get(&place).map(|s| (s.out.clone(), s.joiner.clone()));
+        let partitions: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
+        for partition in partitions {
+            let current = self.replacements.active.get(&partition).map(|s| (s.removed.clone(), s.added.clone()));
             // An order under way may still be committed: until then the one
             // that leaves must not count again.
-            let ordered = stands.as_ref().is_some_and(|s| self.proposed_at.contains_key(&write_set_change_key(&place, &s.0)));
-            let wanted = self.wanted_replacement(&place, now).or_else(|| self.wanted_addition(&place, width, now));
-            if ordered || wanted == stands {
+            let is_proposed =
+                current.as_ref().is_some_and(|s| self.proposed_at.contains_key(&write_set_change_key(&partition, &s.0)));
+            let wanted = self.wanted_replacement(&partition, now).or_else(|| self.wanted_addition(&partition, size, now));
+            if is_proposed || wanted == current {
                 continue;
             }
-            if let Some((out, joiner)) = wanted {
-                self.replacements.count += 1;
-                let number = Version { term: self.election.term(), count: self.replacements.count };
-                self.replacements.swaps.insert(place.clone(), Replacement { out, joiner, number });
+            if let Some((removed, added)) = wanted {
+                self.replacements.last_number += 1;
+                let number = Version { term: self.election.term(), count: self.replacements.last_number };
+                self.replacements.active.insert(partition.clone(), Replacement { removed, added, number });
             } else {
-                self.replacements.swaps.remove(&place);
+                self.replacements.active.remove(&partition);
             }
-            if let Some(grant) = self.granted_leases.get(&Duty::Lead(place)) {
+            if let Some(grant) = self.granted_leases.get(&Duty::Lead(partition)) {
                 self.holders_to_notify.insert(grant.holder.clone());
             }
         }
@@ -150,42 +151,44 @@
 
     /// The seat of a partition that should move, and where to. One that is
     /// gone or about to go is first: a retiring one still counts meanwhile.
-    pub(super) fn wanted_replacement(&self, place: &PartitionId, now: Time) -> Option<(Daemon, Daemon)> {
-        let set = self.hard.layout.get(place)?;
+    pub(super) fn wanted_replacement(&self, partition: &PartitionId, now: Time) -> Option<(Daemon, Daemon)> {
+        let set = self.hard.layout.get(partition)?;
         let stores = || set.iter().map(|s| &s.0);
-        let gone = stores().find(|d| self.is_absent(d)).or_else(|| stores().find(|d| self.is_departing(d)));
-        let replaced = gone.and_then(|out| Some((out.clone(), self.choose_substitute(place, out, now)?)));
-        replaced.filter(|(out, joiner)| self.is_retiring(out) || !self.worsens_zone_spread(set, out, joiner)).or_else(|| {
-            let out = stores().find(|d| self.is_retiring(d))?;
-            Some((out.clone(), self.choose_substitute(place, out, now)?))
-        })
+        let leaving = stores().find(|d| self.is_absent(d)).or_else(|| stores().find(|d| self.is_departing(d)));
+        let replacement = leaving.and_then(|removed| Some((removed.clone(), self.choose_substitute(partition, removed, now)?)));
+        replacement
+            .filter(|(removed, added)| self.is_retiring(removed) || !self.worsens_zone_spread(set, removed, added))
+            .or_else(|| {
+                let removed = stores().find(|d| self.is_retiring(d))?;
+                Some((removed.clone(), self.choose_substitute(partition, removed, now)?))
+            })
     }
 
     /// How many stores a write set should have, of those that are there.
     fn target_write_set_size(&self, now: Time) -> usize {
-        let stays = |m: &&Member| self.is_live(&m.id, now) && !self.is_retiring(&m.id) && !self.is_departing(&m.id);
-        self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(stays).count())
+        let remains = |m: &&Member| self.is_live(&m.id, now) && !self.is_retiring(&m.id) && !self.is_departing(&m.id);
+        self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(remains).count())
     }
 
     /// The store that takes one more seat in a write set of fewer than `width`
     /// stores, laid out when there were fewer. One at a time: a majority of the
     /// set before and one of the set after always have a store in common. A
     /// seat that has to move goes first.
-    fn wanted_addition(&self, place: &PartitionId, width: usize, now: Time) -> Option<(Daemon, Daemon)> {
-        let set = self.hard.layout.get(place)?;
-        let moves = |d: &Daemon| self.is_absent(d) || self.is_departing(d) || self.is_retiring(d);
-        if set.len() >= width || set.iter().any(|seat| moves(&seat.0)) {
+    fn wanted_addition(&self, partition: &PartitionId, size: usize, now: Time) -> Option<(Daemon, Daemon)> {
+        let set = self.hard.layout.get(partition)?;
+        let must_leave = |d: &Daemon| self.is_absent(d) || self.is_departing(d) || self.is_retiring(d);
+        if set.len() >= size || set.iter().any(|seat| must_leave(&seat.0)) {
             return None;
         }
-        let joiner = self.choose_joining_store(place, None, now).filter(|d| !moves(d))?;
-        Some((joiner.clone(), joiner))
+        let added = self.choose_joining_store(partition, None, now).filter(|d| !must_leave(d))?;
+        Some((added.clone(), added))
     }
 
     /// Whether a write set would have more of its seats in one zone if
     /// `joiner` took the seat of `out`.
-    fn worsens_zone_spread(&self, set: &[(Daemon, IncarnationId)], out: &Daemon, joiner: &Daemon) -> bool {
+    fn worsens_zone_spread(&self, set: &[(Daemon, IncarnationId)], removed: &Daemon, added: &Daemon) -> bool {
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| &m.zone);
-        let fullest = |stores: &[&Daemon]| {
+        let max_per_zone = |stores: &[&Daemon]| {
             let mut counts: BTreeMap<Option<&Zone>, usize> = BTreeMap::new();
             for store in stores {
                 *counts.entry(zone(store)).or_default() += 1;
@@ -193,25 +196,25 @@
             counts.into_values().max().unwrap_or(0)
         };
         let before: Vec<&Daemon> = set.iter().map(|s| &s.0).collect();
-        let after: Vec<&Daemon> = before.iter().map(|d| if *d == out { joiner } else { *d }).collect();
-        fullest(&after) > fullest(&before)
+        let after: Vec<&Daemon> = before.iter().map(|d| if *d == removed { added } else { *d }).collect();
+        max_per_zone(&after) > max_per_zone(&before)
     }
 
     /// The store that would take `out`'s seat in a partition's write set: one
     /// that is live, from the zone with the fewest seats of the set.
-    pub(super) fn choose_substitute(&self, place: &PartitionId, out: &Daemon, now: Time) -> Option<Daemon> {
-        self.choose_joining_store(place, Some(out), now)
+    pub(super) fn choose_substitute(&self, partition: &PartitionId, removed: &Daemon, now: Time) -> Option<Daemon> {
+        self.choose_joining_store(partition, Some(removed), now)
     }
 
-    fn choose_joining_store(&self, place: &PartitionId, out: Option<&Daemon>, now: Time) -> Option<Daemon> {
-        let set = self.hard.layout.get(place)?;
+    fn choose_joining_store(&self, partition: &PartitionId, removed: Option<&Daemon>, now: Time) -> Option<Daemon> {
+        let set = self.hard.layout.get(partition)?;
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| m.zone.clone());
-        let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != out).map(|s| zone(&s.0)).collect();
+        let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != removed).map(|s| zone(&s.0)).collect();
         let seats_in = |z: &Zone| zones.iter().filter(|x| x.as_ref() == Some(z)).count();
         self.hard
             .of(DaemonKind::Store)
-            .filter(|m| Some(&m.id) != out && self.is_live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
-            .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{place}@{}", m.id).as_bytes())))
+            .filter(|m| Some(&m.id) != removed && self.is_live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
+            .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{partition}@{}", m.id).as_bytes())))
             .map(|m| m.id.clone())
     }
 
@@ -221,35 +224,40 @@
         &mut self,
         leader: &Daemon,
         report: &Report,
-        place: &PartitionId,
-        put: (Daemon, IncarnationId),
+        partition: &PartitionId,
+        added: (Daemon, IncarnationId),
         now: Time,
     ) {
-        let Some(swap) = self.replacements.swap(place) else { return };
-        let current = report.replacement_numbers.contains(&(place.clone(), swap.number));
-        if !current || swap.joiner != put.0 || swap.out == *leader {
+        let Some(replacement) = self.replacements.get(partition) else { return };
+        let is_current = report.replacement_numbers.contains(&(partition.clone(), replacement.number));
+        if !is_current || replacement.added != added.0 || replacement.removed == *leader {
             return;
         }
-        let out = swap.out.clone();
-        let order = match out == put.0 {
-            true => Order::AddStore { partition: place.clone(), added: put },
-            false => Order::ReplaceStore { partition: place.clone(), removed: out.clone(), added: put },
+        let removed = replacement.removed.clone();
+        let order = match removed == added.0 {
+            true => Order::AddStore { partition: partition.clone(), added },
+            false => Order::ReplaceStore { partition: partition.clone(), removed: removed.clone(), added },
         };
-        self.propose_unless_recent(write_set_change_key(place, &out), order, now);
+        self.propose_unless_recent(write_set_change_key(partition, &removed), order, now);
     }
 
     /// Asks retiring stores to give up what they keep; one without a seat has
     /// retired.
     fn drain_retiring_stores(&mut self, now: Time) {
-        let leaving: Vec<Daemon> = self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
-        for store in leaving {
+        let retiring: Vec<Daemon> =
+            self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
+        for store in retiring {
             if self.seat_count(&store) == 0 {
                 let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
                 self.propose_unless_recent(format!("retired {store}"), order, now);
             }
-            let kept = |d: &Duty, g: &Daemon| matches!(d, Duty::Lead(_)) && *g == store;
-            let held: Vec<Duty> =
-                self.granted_leases.iter().filter(|(d, g)| now < g.until && kept(d, &g.holder)).map(|(d, _)| d.clone()).collect();
+            let is_led = |d: &Duty, g: &Daemon| matches!(d, Duty::Lead(_)) && *g == store;
+            let held: Vec<Duty> = self
+                .granted_leases
+                .iter()
+                .filter(|(d, g)| now < g.until && is_led(d, &g.holder))
+                .map(|(d, _)| d.clone())
+                .collect();
             for duty in held {
                 if self.release_requests.insert(duty, now).is_none() {
                     self.holders_to_notify.insert(store.clone());
@@ -261,17 +269,17 @@
     /// Gives up on members that are gone for good: whoever takes over would
     /// wait for their reports.
     fn remove_gone_members(&mut self, now: Time) {
-        let gone = |d: &&Daemon| {
+        let is_gone = |d: &&Daemon| {
             d.kind() != DaemonKind::Placement && self.silent_for(d, now) > REMOVE_MEMBER_AFTER && self.seat_count(d) == 0
         };
-        let gone: Vec<Daemon> = self.hard.members.keys().filter(gone).cloned().collect();
+        let gone: Vec<Daemon> = self.hard.members.keys().filter(is_gone).cloned().collect();
         for daemon in gone {
-            self.propose_unless_recent(format!("forget {daemon}"), Order::RemoveMember(daemon), now);
+            self.propose_unless_recent(format!("remove {daemon}"), Order::RemoveMember(daemon), now);
         }
     }
 }
 
 /// Under which a change of a seat is asked for once.
-pub(super) fn write_set_change_key(place: &PartitionId, out: &Daemon) -> String {
-    format!("reseat {place} {out}")
+pub(super) fn write_set_change_key(partition: &PartitionId, removed: &Daemon) -> String {
+    format!("write set {partition} {removed}")
 }
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -26,9 +26,12 @@
         };
         let seats = self.seat_count(&store.id);
         let votes = self.may_vote_on_host(host_of(&store.addr));
-        let gone = *state == Retirement::Done && seats == 0 && !votes;
-        let word = if gone { "gone" } else { "leaving" };
-        ApiResponse::json(200, json!({"machine": machine, "retirement": word, "seats_left": seats, "votes": votes}).to_string())
+        let is_complete = *state == Retirement::Done && seats == 0 && !votes;
+        let state_name = if is_complete { "gone" } else { "leaving" };
+        ApiResponse::json(
+            200,
+            json!({"machine": machine, "retirement": state_name, "seats_left": seats, "votes": votes}).to_string(),
+        )
     }
 
     /// The hosts of retiring stores; their placement votes have to move too.
@@ -40,8 +43,8 @@
     /// Whether a voting placement replica runs on a host, or may still count
     /// as one: until a configuration without it is committed.
     fn may_vote_on_host(&self, host: &str) -> bool {
-        let named = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
-        named || !self.election.membership_settled()
+        let is_configured = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
+        is_configured || !self.election.membership_settled()
     }
 }
 
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -10,9 +10,9 @@
 /// Since when fewer losses are borne than stated, and what was told of it.
 #[derive(Debug, Default)]
 pub(super) struct Shortfall {
-    looked: Time,
+    last_checked: Time,
     since: Option<Time>,
-    told: Vec<String>,
+    reported: Vec<String>,
 }
 
 impl Placement {
@@ -36,39 +36,39 @@
     /// Notes since when the stated losses are not borne, and tells of it when
     /// it lasts or changes, and when it is over.
     pub(super) fn check_redundancy(&mut self, now: Time) {
-        if now.since(self.shortfall.looked) < CHECK_INTERVAL {
+        if now.since(self.shortfall.last_checked) < CHECK_INTERVAL {
             return;
         }
-        self.shortfall.looked = now;
-        let short = self.current_redundancy(now).shortfall(&self.startup.tolerates);
-        if short.is_empty() {
+        self.shortfall.last_checked = now;
+        let shortfall = self.current_redundancy(now).shortfall(&self.startup.tolerates);
+        if shortfall.is_empty() {
             self.shortfall.since = None;
-            if !std::mem::take(&mut self.shortfall.told).is_empty() {
+            if !std::mem::take(&mut self.shortfall.reported).is_empty() {
                 self.log(LogEvent::RedundancyRestored, "voters and write sets".to_string());
             }
             return;
         }
         let since = *self.shortfall.since.get_or_insert(now);
-        if now.since(since) >= REPORT_DELAY && short != self.shortfall.told {
-            self.log(LogEvent::RedundancyReduced, short.join("; "));
-            self.shortfall.told = short;
+        if now.since(since) >= REPORT_DELAY && shortfall != self.shortfall.reported {
+            self.log(LogEvent::RedundancyReduced, shortfall.join("; "));
+            self.shortfall.reported = shortfall;
         }
     }
 
     /// For the status: what is borne now, beside what is stated.
     pub(super) fn redundancy_status(&self, now: Time) -> Value {
-        let stated = &self.startup.tolerates;
+        let required = &self.startup.tolerates;
         let redundancy = self.current_redundancy(now);
         let group = |group: &Group| {
             json!({"size": group.size, "present": group.present.len(), "machines": group.machines(),
-                   "zones": group.bears_zones(stated.zones)})
+                   "zones": group.bears_zones(required.zones)})
         };
         json!({
-            "stated": {"machines": stated.machines, "zones": stated.zones, "regions": stated.regions},
+            "stated": {"machines": required.machines, "zones": required.zones, "regions": required.regions},
             "voters": group(&redundancy.voters),
             "weakest_write_set": redundancy.weakest_set.as_ref().map(group),
             "weak_write_sets": redundancy.weak_sets,
-            "shortfall": redundancy.shortfall(stated),
+            "shortfall": redundancy.shortfall(required),
         })
     }
 }
