--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -1,15 +1,15 @@
-//! Stores that are told to stop while their successor is there already.
+//! Stores that are told to stop when their successor is already running.
 //!
-//! The platform stops a machine for good as it stops one that it restarts, so a
-//! store can't know which it is. Where a store without any seat came up shortly
-//! before, it is taken for the successor: the seats of the one that stops move
-//! to it at once, and the one that stops stays, as a replica, until they have.
-//! Else messages that stand on it and on one other store would stand on that
-//! one alone from its end until its silence was noticed. Where no successor is
-//! there a stop is a restart: nothing moves, and the store goes at once.
+//! The platform stops a machine for good in the same way as it restarts one, so a store
+//! can't know which of the two happens. If a store without any seat started shortly before,
+//! it is taken for the successor: the seats of the stopping store move to it at once, and
+//! the stopping store stays as a replica until they have moved. Otherwise messages stored
+//! only on it and one other store would have a single copy from its exit until its absence
+//! was noticed. Without a successor a stop is a restart: nothing moves, and the store exits
+//! at once.
 use crate::prelude::*;
 
-/// A store without a seat that came up within this time is a successor.
+/// A store without a seat counts as a successor if it started within this time.
 const SUCCESSOR_PERIOD: Span = Span::secs(30);
 
 impl Placement {
@@ -18,13 +18,14 @@
         self.replacements.departing.contains(store)
     }
 
-    /// Whether a store last said that it was told to stop. One that is back
-    /// from a restart says so no more.
+    /// Whether the last report of a store said that it was told to stop. After a restart
+    /// its reports no longer say so.
     fn is_stopping(&self, store: &Daemon) -> bool {
         let report = self.daemons.get(store).and_then(|seen| seen.report.as_ref());
         report.is_some_and(|report| report.stopping)
     }
 
+    /// Whether a live store without a seat started recently.
     fn has_successor(&self, now: Time) -> bool {
         let started_recently =
             |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
@@ -32,8 +33,9 @@
         stores.any(|store| started_recently(store) && self.is_live(store, now) && self.seat_count(store) == 0)
     }
 
-    /// Notes which stores stop. One that was given a successor keeps it when
-    /// that one has taken its first seat, and after it has gone silent.
+    /// Updates the set of stores that are stopping and have a successor. A store stays in
+    /// the set after the successor has taken its first seat, and after the store has become
+    /// silent.
     pub(super) fn update_departing(&mut self, now: Time) {
         let stopping: BTreeSet<Daemon> =
             self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.is_stopping(store)).collect();
@@ -44,8 +46,8 @@
         }
     }
 
-    /// Tells a store that was told to stop whether to wait. A primary that has
-    /// not heard everybody yet can't know; the store bounds its wait.
+    /// Tells a stopping store whether to wait. A primary that is not serving yet can't
+    /// know, so it says to wait; the store limits its wait itself.
     pub(super) fn answer_departure(&mut self, store: &Daemon, now: Time) {
         if self.office == Office::Serving {
             self.update_departing(now);
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -1,16 +1,17 @@
-//! Configurations that carry their operator's own number.
+//! Configurations that carry a revision number given by their operator.
 use super::operator_requests::{config_error_response, error_response};
 use super::{operation_done, ProposalOrigin, COMMIT_MAX};
 use crate::prelude::*;
 use serde_json::json;
 
-/// Those who wait for one and the same order, at most.
+/// The most requests that may wait for the same order.
 pub(super) const MAX_WAITING_REQUESTS: usize = 64;
-/// Stores are still coming in when the newest one joined within this.
+/// Stores are taken to be still joining while the last one joined within this time.
 const STORE_JOIN_QUIET_PERIOD: Span = Span::millis(500);
+/// When a caller may send an order again that can't be accepted yet.
 const RETRY_AFTER: Span = Span::millis(300);
 
-/// Whether an order is a patch of a configuration or a whole one.
+/// The kind of an order: a patch of the configuration or a complete one.
 pub(super) fn order_kind(is_patch: bool) -> OrderKind {
     match is_patch {
         true => OrderKind::Patch,
@@ -19,6 +20,8 @@
 }
 
 impl Placement {
+    /// Handles a configuration or patch with revision number `base`. Sent again while in
+    /// progress it waits for the same result; sent again later it gets the recorded one.
     pub(super) fn revise_config(
         &mut self,
         id: RequestId,
@@ -58,9 +61,8 @@
         None
     }
 
-    /// The answer to an order on a base so old that its record may be gone:
-    /// a whole configuration that is in force was taken, of any other it can't
-    /// be known.
+    /// The response to an order on a base so old that its record may have been dropped: a
+    /// complete configuration that is in force was accepted; of any other it is unknown.
     fn unrecorded_response(&self, op: &OperationId, json: &str, is_patch: bool, now: Time) -> ApiResponse {
         if !is_patch && self.is_in_force(json, now) {
             return operation_done(self.hard.config_version, op);
@@ -68,7 +70,7 @@
         retry_later("this order is older than the records; whether it was taken is unknown; read the configuration")
     }
 
-    /// Whether a whole configuration is the very one in force.
+    /// Whether a complete configuration is the one in force.
     fn is_in_force(&self, json: &str, now: Time) -> bool {
         let Ok(mut config) = dw_config::check::read(json) else { return false };
         if self.assign_spool_partitions(&mut config, now).is_err() {
@@ -77,7 +79,7 @@
         canonical_json(&config).is_ok_and(|text| text == self.hard.config)
     }
 
-    /// Those who wait for an order that is under way.
+    /// The requests that wait for a proposed order.
     fn waiting_requests(&mut self, op: &OperationId) -> Option<&mut Vec<RequestId>> {
         self.proposals.values_mut().find_map(|(_, p)| match p {
             ProposalOrigin::NumberedConfigRequests(ids, o) if o == op => Some(ids),
@@ -105,8 +107,8 @@
         dw_config::check::read(&self.hard.config)
     }
 
-    /// Fills in what placement chooses: the spool's partitions, once and for
-    /// all, by the stores there are.
+    /// Sets the number of partitions of the spool (the queue for routed requests) if it is
+    /// not set yet. It is derived from the number of stores and never changes afterwards.
     pub(super) fn assign_spool_partitions(&self, c: &mut Config, now: Time) -> Result<(), ConfigRejection> {
         if c.spool == 0 {
             c.spool = self.rules.spool;
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Another revision is in force than the one this was made from.
+    /// The response to a change based on another revision than the one in force.
     pub(super) fn stale_revision_response(&self, v: Version) -> ApiResponse {
         let revision = self.rules.revision;
         let text = json!({"error": "the base is no longer the newest; read the charter again and mend your change",
@@ -135,12 +137,16 @@
     }
 }
 
-/// Why a configuration can't be taken, now or at all.
+/// Why a configuration is not accepted.
 pub(super) enum ConfigRejection {
+    /// Not now; the text says why.
     RetryLater(&'static str),
+    /// It has faults.
     Invalid(ConfigError),
 }
 
+/// The form in which a configuration is committed; an error if it is larger than
+/// `COMMIT_MAX`.
 pub(super) fn canonical_json(c: &Config) -> Result<String, ConfigError> {
     let json = serde_json::to_string(c).map_err(|source| ConfigError::Unreadable { source })?;
     if json.len() > COMMIT_MAX {
@@ -149,6 +155,7 @@
     Ok(json)
 }
 
+/// The response to an order that may be sent again after `RETRY_AFTER`.
 pub(super) fn retry_later(reason: &str) -> ApiResponse {
     ApiResponse { retry_after: Some(RETRY_AFTER), ..error_response(503, reason) }
 }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -1,48 +1,49 @@
-//! Replacement of stores: which store gives up its seat in a write set, and
-//! which one takes it; and which one joins a set that has fewer stores than the
-//! losses to be borne call for.
+//! Changes of write sets: which store gives up its seat and which one takes it, and which
+//! store is added to a set that is too small for the required fault tolerance.
 //!
-//! A store leaves a write set when an operator retires it, when it stops and a
-//! successor is there (`departure`), or when it has been silent for so long that
-//! it counts as gone. The leader of the partition
-//! copies it whole to the joiner under a numbered `Swap`; only then the seat is
-//! moved by a committed order.
+//! A store leaves a write set when an operator retires it, when it stops and a successor is
+//! running (`departure`), or when it has been silent for so long that it counts as absent.
+//! The leader of the partition copies all of it to the new store under a numbered
+//! `Replacement`; only then does a committed order move the seat.
 use crate::prelude::*;
 
-/// Between two rounds of a primary that works without a break.
+/// A longer pause than this between two rounds means that the primary was frozen or cut
+/// off.
 const MAX_ROUND_GAP: Span = Span::millis(500);
-/// A store silent for this long is replaced by a newcomer without any seat.
+/// A store that is silent for this long counts as absent if a newcomer without any seat can
+/// replace it.
 const ABSENT_AFTER_WITH_NEWCOMER: Span = Span::secs(2);
-/// Without a newcomer, its seats go to stores that have seats already only
-/// after this, so that a short restart moves nothing.
+/// Without a newcomer a store counts as absent only after this time, because its seats then
+/// go to stores that already have some: a short restart moves nothing.
 const ABSENT_AFTER_WITHOUT_NEWCOMER: Span = Span::secs(5);
-/// For so long a store that just came up counts as a newcomer.
+/// A store counts as a newcomer for this long after it started.
 const NEWCOMER_PERIOD: Span = Span::secs(10);
-/// A daemon without a seat that was silent for this long is a member no more.
+/// A daemon without a seat is removed from the members after it was silent for this long.
 const REMOVE_MEMBER_AFTER: Span = Span::secs(30);
 
-/// One replacement under way, or one more seat: then nobody leaves, and `out`
-/// names the joiner itself, which has no seat yet.
+/// A replacement in progress. When a store is only added, nobody leaves: `removed` then
+/// names the added store itself, which has no seat yet.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Replacement {
     pub removed: Daemon,
     pub added: Daemon,
-    /// Distinguishes this replacement from an earlier one of the same stores:
-    /// a copy counts only if it was made under this very number.
+    /// Distinguishes this replacement from an earlier one of the same stores: a copy counts
+    /// only if it was made under this number.
     pub number: Version,
 }
 
-/// What the primary knows of silent stores and replacements. Invariant: it
-/// belongs to one term and is made anew at each take-over.
+/// The absent and departing stores and the replacements in progress. Invariant: it belongs
+/// to one term and is created anew at each failover.
 pub(super) struct Replacements {
-    /// Since when this primary has listened without a break. A primary that
-    /// was frozen or cut off heard nobody, which says nothing about them.
+    /// Since when this primary has run without a break. While it was frozen or cut off it
+    /// received nothing, which says nothing about the other daemons.
     listening_since: Time,
     last_round: Time,
-    /// Stores taken for gone until they are heard again.
+    /// Stores that were silent for too long, until they are in contact again.
     absent: BTreeSet<Daemon>,
-    /// Stores that were told to stop and whose seats a successor takes.
+    /// Stores that were told to stop and whose seats move to a successor.
     pub departing: BTreeSet<Daemon>,
+    /// The replacement in progress at each partition.
     active: BTreeMap<PartitionId, Replacement>,
     last_number: u64,
 }
@@ -61,10 +62,11 @@
     pub fn get(&self, partition: &PartitionId) -> Option<&Replacement> {
         self.active.get(partition)
     }
-    /// Whether no seat has to move on account of stores that are gone.
+    /// Whether no seat has to move because a store is absent or departing.
     fn is_idle(&self) -> bool {
         self.absent.is_empty() && self.departing.is_empty() && self.active.is_empty()
     }
+    /// Notes that a round runs now, and whether the primary had a break before it.
     fn record_round(&mut self, now: Time) {
         if now.since(self.last_round) > MAX_ROUND_GAP {
             self.listening_since = now;
@@ -74,7 +76,8 @@
 }
 
 impl Placement {
-    /// One round: who is gone, which seats move, who is forgotten.
+    /// One round: finds absent and departing stores, chooses which seats move, and removes
+    /// members that are gone.
     pub(super) fn replace_stores(&mut self, now: Time) {
         self.replacements.record_round(now);
         self.update_absent(now);
@@ -84,17 +87,19 @@
         self.remove_gone_members(now);
     }
 
-    /// For how long a daemon was not heard while this primary listened.
+    /// How long a daemon has been silent while this primary was running.
     pub(super) fn silent_for(&self, daemon: &Daemon, now: Time) -> Span {
         let last_contact = self.daemons.get(daemon).map_or(Time(0), |s| s.at);
         now.since(last_contact.max(self.replacements.listening_since))
     }
 
-    /// Whether a store is taken for gone.
+    /// Whether a store counts as absent.
     pub(super) fn is_absent(&self, store: &Daemon) -> bool {
         self.replacements.absent.contains(store)
     }
 
+    /// Adds stores that were silent for too long to the absent ones; removes those that are
+    /// in contact again.
     fn update_absent(&mut self, now: Time) {
         let is_newcomer = |m: &Member| {
             let is_recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.since) < NEWCOMER_PERIOD);
@@ -117,8 +122,8 @@
         }
     }
 
-    /// Decides for each partition which seat moves, and tells its leader of
-    /// each change at once.
+    /// Decides for each partition which seat moves, and notifies its leader of each change
+    /// at once.
     fn choose_replacements(&mut self, now: Time) {
         let size = self.target_write_set_size(now);
         let any_too_small = self.hard.layout.values().any(|set| set.len() < size);
@@ -128,8 +133,8 @@
         let partitions: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
         for partition in partitions {
             let current = self.replacements.active.get(&partition).map(|s| (s.removed.clone(), s.added.clone()));
-            // An order under way may still be committed: until then the one
-            // that leaves must not count again.
+            // A proposed order may still be committed: until then the store that leaves
+            // must not count again.
             let is_proposed =
                 current.as_ref().is_some_and(|s| self.proposed_at.contains_key(&write_set_change_key(&partition, &s.0)));
             let wanted = self.wanted_replacement(&partition, now).or_else(|| self.wanted_addition(&partition, size, now));
@@ -149,8 +154,8 @@
         }
     }
 
-    /// The seat of a partition that should move, and where to. One that is
-    /// gone or about to go is first: a retiring one still counts meanwhile.
+    /// The store of a write set that should be replaced, and the one to replace it. Absent
+    /// and departing stores come first: a retiring one still counts in the meantime.
     pub(super) fn wanted_replacement(&self, partition: &PartitionId, now: Time) -> Option<(Daemon, Daemon)> {
         let set = self.hard.layout.get(partition)?;
         let stores = || set.iter().map(|s| &s.0);
@@ -164,16 +169,17 @@
             })
     }
 
-    /// How many stores a write set should have, of those that are there.
+    /// The number of stores that a write set should have, given the stores that remain
+    /// available.
     fn target_write_set_size(&self, now: Time) -> usize {
         let remains = |m: &&Member| self.is_live(&m.id, now) && !self.is_retiring(&m.id) && !self.is_departing(&m.id);
         self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(remains).count())
     }
 
-    /// The store that takes one more seat in a write set of fewer than `width`
-    /// stores, laid out when there were fewer. One at a time: a majority of the
-    /// set before and one of the set after always have a store in common. A
-    /// seat that has to move goes first.
+    /// The store to add to a write set of fewer than `size` stores, one created when there
+    /// were fewer stores. Stores are added one at a time: a majority of the set before and
+    /// a majority of the set after then always have a store in common. Seats that have to
+    /// move come first.
     fn wanted_addition(&self, partition: &PartitionId, size: usize, now: Time) -> Option<(Daemon, Daemon)> {
         let set = self.hard.layout.get(partition)?;
         let must_leave = |d: &Daemon| self.is_absent(d) || self.is_departing(d) || self.is_retiring(d);
@@ -184,8 +190,8 @@
         Some((added.clone(), added))
     }
 
-    /// Whether a write set would have more of its seats in one zone if
-    /// `joiner` took the seat of `out`.
+    /// Whether replacing `removed` by `added` would put more seats of a write set into one
+    /// zone.
     fn worsens_zone_spread(&self, set: &[(Daemon, IncarnationId)], removed: &Daemon, added: &Daemon) -> bool {
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| &m.zone);
         let max_per_zone = |stores: &[&Daemon]| {
@@ -200,12 +206,14 @@
         max_per_zone(&after) > max_per_zone(&before)
     }
 
-    /// The store that would take `out`'s seat in a partition's write set: one
-    /// that is live, from the zone with the fewest seats of the set.
+    /// The store that would take the seat of `removed` in a write set: a live one, from the
+    /// zone with the fewest seats in the set.
     pub(super) fn choose_substitute(&self, partition: &PartitionId, removed: &Daemon, now: Time) -> Option<Daemon> {
         self.choose_joining_store(partition, Some(removed), now)
     }
 
+    /// The live store outside a write set that should join it, in place of `removed` if
+    /// given.
     fn choose_joining_store(&self, partition: &PartitionId, removed: Option<&Daemon>, now: Time) -> Option<Daemon> {
         let set = self.hard.layout.get(partition)?;
         let zone = |d: &Daemon| self.hard.members.get(d).map(|m| m.zone.clone());
@@ -218,8 +226,8 @@
             .map(|m| m.id.clone())
     }
 
-    /// A leader's word that `store` holds a partition whole: the seat moves if
-    /// that copy was made under the replacement that is under way.
+    /// Called when a leader reports that `added` holds a full copy of a partition: proposes
+    /// to move the seat if the copy was made under the replacement now in progress.
     pub(super) fn commit_replacement(
         &mut self,
         leader: &Daemon,
@@ -241,8 +249,8 @@
         self.propose_unless_recent(write_set_change_key(partition, &removed), order, now);
     }
 
-    /// Asks retiring stores to give up what they keep; one without a seat has
-    /// retired.
+    /// Asks retiring stores to release the partitions they lead; marks those without a seat
+    /// as retired.
     fn drain_retiring_stores(&mut self, now: Time) {
         let retiring: Vec<Daemon> =
             self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
@@ -266,8 +274,8 @@
         }
     }
 
-    /// Gives up on members that are gone for good: whoever takes over would
-    /// wait for their reports.
+    /// Removes members that are gone for good; otherwise the next primary would wait for
+    /// their reports.
     fn remove_gone_members(&mut self, now: Time) {
         let is_gone = |d: &&Daemon| {
             d.kind() != DaemonKind::Placement && self.silent_for(d, now) > REMOVE_MEMBER_AFTER && self.seat_count(d) == 0
@@ -279,7 +287,7 @@
     }
 }
 
-/// Under which a change of a seat is asked for once.
+/// The key under which a change of a write set is proposed only once.
 pub(super) fn write_set_change_key(partition: &PartitionId, removed: &Daemon) -> String {
     format!("write set {partition} {removed}")
 }
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -1,5 +1,5 @@
-//! Retiring whole storage machines: the store on one and a placement vote
-//! beside it.
+//! Retires whole storage machines: the store on a machine and a placement voter on the same
+//! host.
 use super::operator_requests::error_response;
 use crate::prelude::*;
 use serde_json::json;
@@ -10,15 +10,15 @@
         self.hard.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
     }
 
-    /// Takes the order to empty a machine; the same order again is
-    /// acknowledged again.
+    /// Starts to retire the store on a machine; the same request again gets the same
+    /// response.
     pub(super) fn retire_machine(&mut self, id: RequestId, machine: &str, now: Time) -> Option<ApiResponse> {
         let Some(store) = self.store_on_machine(machine).map(|m| m.id.clone()) else { return Some(unknown_machine_response()) };
         self.retire_store(id, store, now)
     }
 
-    /// How far a machine's retirement is. `gone` is told only when nothing on
-    /// it counts any more: no seat in a write set, and no vote.
+    /// How far the retirement of a machine is. It is reported as `gone` only when nothing
+    /// on it counts any more: no seat in a write set, and no vote.
     pub(super) fn retirement_status(&self, machine: &str) -> ApiResponse {
         let Some(store) = self.store_on_machine(machine) else { return unknown_machine_response() };
         let Some(state) = self.hard.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
@@ -34,14 +34,14 @@
         )
     }
 
-    /// The hosts of retiring stores; their placement votes have to move too.
+    /// The hosts of retiring stores; placement voters on them have to move as well.
     pub fn retiring_hosts(&self) -> BTreeSet<String> {
         let stores = self.hard.of(DaemonKind::Store).filter(|m| self.is_retiring(&m.id));
         stores.map(|m| host_of(&m.addr).to_string()).collect()
     }
 
-    /// Whether a voting placement replica runs on a host, or may still count
-    /// as one: until a configuration without it is committed.
+    /// Whether a placement voter runs on a host, or may still count as one: until a
+    /// configuration without it is committed.
     fn may_vote_on_host(&self, host: &str) -> bool {
         let is_configured = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
         is_configured || !self.election.membership_settled()
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -1,13 +1,13 @@
-//! Tells operators when a second loss would be one too many.
+//! Warns operators when fewer further failures could be survived than required.
 use crate::prelude::*;
 use serde_json::{json, Value};
 
-/// Between two looks.
+/// Time between two checks.
 const CHECK_INTERVAL: Span = Span::secs(1);
-/// A shortfall that lasts for so long is told: a restart is over before.
+/// A shortfall is reported after it has lasted this long: a restart is over before.
 const REPORT_DELAY: Span = Span::secs(2);
 
-/// Since when fewer losses are borne than stated, and what was told of it.
+/// Since when fewer failures could be survived than required, and what was reported of it.
 #[derive(Debug, Default)]
 pub(super) struct Shortfall {
     last_checked: Time,
@@ -16,6 +16,7 @@
 }
 
 impl Placement {
+    /// The redundancy of the voters and of all write sets at this moment.
     fn current_redundancy(&self, now: Time) -> Redundancy {
         let voters = self.election.present_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
         let voters = Group { size: self.election.configuration().names().len(), present: voters };
@@ -23,7 +24,7 @@
         Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
     }
 
-    /// Zones of the stores of a write set that are live with the folder that
+    /// The zones of those stores of a write set that are live with the data folder that
     /// counts.
     fn present_zones(&self, set: &[(Daemon, IncarnationId)], now: Time) -> Vec<Zone> {
         let is_present = |seat: &&(Daemon, IncarnationId)| {
@@ -33,8 +34,7 @@
         present.filter_map(|seat| self.hard.members.get(&seat.0).map(|member| member.zone.clone())).collect()
     }
 
-    /// Notes since when the stated losses are not borne, and tells of it when
-    /// it lasts or changes, and when it is over.
+    /// Reports a shortfall when it has lasted for a while or changes, and when it is over.
     pub(super) fn check_redundancy(&mut self, now: Time) {
         if now.since(self.shortfall.last_checked) < CHECK_INTERVAL {
             return;
@@ -55,7 +55,7 @@
         }
     }
 
-    /// For the status: what is borne now, beside what is stated.
+    /// For the status: the failures that could be survived now, beside those required.
     pub(super) fn redundancy_status(&self, now: Time) -> Value {
         let required = &self.startup.tolerates;
         let redundancy = self.current_redundancy(now);
--- a/crates/placement/src/primary/target_shards.rs
+++ b/crates/placement/src/primary/target_shards.rs
@@ -1,13 +1,15 @@
-//! Duties of reach: which there are, and where they are at home.
+//! Duties for target shards (`Duty::TargetShard`): which ones exist, and in which zone they
+//! belong.
 use super::grants::HOLDER_AVOIDANCE_TIME;
 use super::ConnectivityFault;
 use crate::prelude::*;
 
-/// A delivery is no home before it has been live for so long.
+/// A delivery daemon gets duties of its own zone back only after it has been live for this
+/// long.
 const MIN_LIVE_TIME: Span = Span::secs(3);
-/// Asked to go home at once, at most.
+/// The most duties that are asked at once to move to their own zone.
 const MAX_MOVES_TO_OWN_ZONE: usize = 2;
-/// After so long without a cut, an earlier one is forgotten.
+/// After this long without a connectivity fault an earlier one no longer counts.
 const FAULT_RESET_TIME: Span = Span::secs(300);
 
 /// The zone a duty belongs to, if it belongs to one.
@@ -18,12 +20,12 @@
 }
 
 impl Placement {
-    /// What the primary grants.
+    /// The duties that the primary has to grant.
     pub fn duties(&self) -> &BTreeSet<Duty> {
         &self.duties
     }
-    /// Counts the duties anew: the configuration's, and with routes those of every
-    /// zone in which a daemon or a listed worker stands.
+    /// Recomputes the duties: those of the configuration and, if it has routes, the target
+    /// shards of every zone in which a member or a listed worker is.
     pub(super) fn update_duties(&mut self) {
         let mut all = self.rules.duties();
         if self.rules.spool > 0 {
@@ -34,13 +36,13 @@
         }
         self.duties = all;
     }
-    /// Whether a claim of this duty is to be believed. A zone need not be
-    /// listed (yet), so that a take-over finds all that is held.
+    /// Whether a claim of this duty is accepted. Its zone need not be known (yet), so that
+    /// a failover finds all duties that are held.
     pub(super) fn is_valid_duty(&self, duty: &Duty) -> bool {
         let is_zone_shard = || own_zone(duty).is_some_and(|z| Duty::worker_shards_in(&z).any(|d| d == *duty));
         self.duties.contains(duty) || self.rules.spool > 0 && is_zone_shard()
     }
-    /// The duties there are, with those of reach that anyone tells of.
+    /// The duties that exist, and those target shards that any daemon reports.
     pub(super) fn known_and_claimed_duties(&self) -> BTreeSet<Duty> {
         let reports = || self.daemons.values().filter_map(|s| s.report.as_ref());
         let claimed = reports().flat_map(|r| r.claims.iter().map(|c| &c.duty));
@@ -48,13 +50,13 @@
         let reported = claimed.chain(seen).filter(|d| self.is_valid_duty(d));
         self.duties.iter().chain(reported).cloned().collect()
     }
-    /// Whether a delivery stands outside a duty's own zone.
+    /// Whether a delivery daemon is outside the zone that a duty belongs to.
     pub(super) fn is_outside_own_zone(&self, duty: &Duty, d: &Daemon) -> bool {
         let zone = own_zone(duty);
         zone.is_some() && zone != self.hard.members.get(d).map(|m| m.zone.clone())
     }
-    /// Deliveries among which a duty may be evened out: those of its own zone
-    /// while any of them is live.
+    /// The delivery daemons among which a duty may be balanced: those of its own zone while
+    /// any of them is live, otherwise all.
     pub(super) fn preferred_deliveries(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
         let all = || self.hard.of(DaemonKind::Delivery).map(|m| m.id.clone());
         let in_own_zone: Vec<Daemon> = all().filter(|d| !self.is_outside_own_zone(duty, d) && self.is_live(d, now)).collect();
@@ -63,8 +65,8 @@
         }
         in_own_zone
     }
-    /// Asks holders abroad to give up what a delivery of the duty's own zone
-    /// can take. Ends: each such move leaves one duty less abroad.
+    /// Asks holders outside the own zone of a duty to release it if a delivery daemon of
+    /// that zone can take it. This ends: each move leaves one duty fewer outside its zone.
     pub(super) fn request_moves_to_own_zone(&mut self, held: &[(Duty, Daemon)], now: Time) -> bool {
         let is_established =
             |d: &Daemon| self.is_live(d, now) && self.daemons.get(d).is_some_and(|s| now.since(s.since) >= MIN_LIVE_TIME);
@@ -81,21 +83,23 @@
         self.release_requests.extend(moves.into_iter().map(|d| (d, now)));
         any
     }
-    /// Cut apart a short while ago; the while doubles each time.
+    /// Whether a connectivity fault was so recent that the duty stays where it is; the time
+    /// doubles with each recurrence.
     fn is_move_delayed(&self, duty: &Duty, now: Time) -> bool {
         self.connectivity_faults
             .get(duty)
             .is_some_and(|f| now.since(f.reported_at) < HOLDER_AVOIDANCE_TIME.times(2 << f.recurrences.min(4)))
     }
-    /// Notes that a store and the holder of a duty do not reach each other.
+    /// Records that a store and the holder of a duty do not reach each other.
     pub(super) fn record_connectivity_fault(&mut self, duty: &Duty, holder: Daemon, store_zone: Option<Zone>, now: Time) {
         let previous = self.connectivity_faults.get(duty).filter(|f| now.since(f.reported_at) < FAULT_RESET_TIME);
         let recurrences = previous.map_or(0, |f| f.recurrences + 1);
         self.connectivity_faults.insert(duty.clone(), ConnectivityFault { holder, store_zone, reported_at: now, recurrences });
     }
-    /// How ill a delivery fits a duty that was cut apart before: rather one
-    /// that stands with the store, or for what many stores feed, in neither
-    /// of their zones.
+    /// How unsuitable a delivery daemon is for a duty with a recent connectivity fault; 0
+    /// is best. For a duty fed by one store, daemons in the zone of that store are
+    /// preferred; for one fed by many stores, daemons that are neither in its zone nor in
+    /// the zone of the old holder.
     pub(super) fn connectivity_penalty(&self, duty: &Duty, d: &Daemon, now: Time) -> u8 {
         let Some(fault) = self.connectivity_faults.get(duty).filter(|f| now.since(f.reported_at) < HOLDER_AVOIDANCE_TIME) else {
             return 0;
