--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -28,15 +28,15 @@
             Duty::Endpoint(name) => {
                 let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
                 let Some(desk) = self.desks.get_mut(name) else { return 0 };
-                if desk.breaker.open(now) {
+                if desk.breaker.is_open(now) {
                     return 0;
                 }
-                if desk.breaker.wary() {
+                if desk.breaker.is_tripped() {
                     return 1;
                 }
                 // A second's worth from each store: so all tenants' messages
                 // stand here to take their turns.
-                slots.min(desk.allowance.pace() as u32).max(1)
+                slots.min(desk.allowance.sends_per_second() as u32).max(1)
             }
         }
     }
@@ -44,23 +44,23 @@
     /// Tells each leader how much it may hand over, and what is in hand.
     pub(super) fn send_rooms(&mut self, now: Time) {
         self.roomed = now;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             return;
         }
         let mut by: BTreeMap<Daemon, Rooms> = BTreeMap::new();
-        for (p, x) in &self.link.places {
+        for (p, x) in &self.link.partition_locations {
             by.entry(x.leader.clone()).or_default().1.push((p.clone(), x.epoch));
         }
-        for (duty, epoch) in self.link.held.live(now) {
+        for (duty, epoch) in self.link.leases.active(now) {
             if matches!(duty, Duty::TargetShard(_)) {
                 continue;
             }
             let room = self.room(&duty, now);
-            let since = self.link.since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
+            let since = self.link.held_since.get(&duty).map_or(Span::ZERO, |t| now.since(*t));
             let one = Capacity { duty: duty.clone(), epoch, capacity: room, held_for: since };
             for (leader, (rooms, places)) in by.iter_mut() {
                 let here = match &duty {
-                    Duty::Deliver(p) => self.link.places.get(p).is_some_and(|x| x.leader == *leader),
+                    Duty::Deliver(p) => self.link.partition_locations.get(p).is_some_and(|x| x.leader == *leader),
                     _ => !places.is_empty(),
                 };
                 if here {
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -22,7 +22,7 @@
     /// Whether callers may be sent here: it knows the configuration in force and
     /// some leader of the spool that answers.
     pub(super) fn ready(&self, now: Time) -> bool {
-        self.leaving.is_none() && self.link.fresh(now) && self.free_part(now).is_some()
+        self.leaving.is_none() && self.link.config_is_current(now) && self.free_part(now).is_some()
     }
 
     fn wall(&self, now: Time) -> u64 {
@@ -36,7 +36,7 @@
         let near = &self.startup.me.zone;
         let fit: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let leader = &self.link.places.get(&Rules::spool_place(n))?.leader;
+                let leader = &self.link.partition_locations.get(&Rules::spool_place(n))?.leader;
                 let zone = self.link.zone_of(leader)?;
                 (!self.outages.avoids(leader, now)).then_some((zone == near, n))
             })
@@ -56,7 +56,7 @@
         now: Time,
     ) {
         self.counts.handed += 1;
-        if !self.link.fresh(now) {
+        if !self.link.config_is_current(now) {
             self.counts.refused += 1;
             return self.tell(ask, short("this proxy can't confirm the charter in force"));
         }
@@ -139,7 +139,7 @@
     /// Whether a message of this partition alone is refused at once, as its
     /// leader was silent for long.
     fn leader_is_lost(&mut self, part: u32, now: Time) -> bool {
-        let leader = self.link.places.get(&Rules::spool_place(part)).map(|placing| &placing.leader);
+        let leader = self.link.partition_locations.get(&Rules::spool_place(part)).map(|placing| &placing.leader);
         leader.is_some_and(|leader| self.outages.refuses(leader, now))
     }
 
@@ -158,7 +158,7 @@
         if c.doubt || now.since(c.since) >= bounds.limit {
             return self.give_up(n);
         }
-        let leader = self.link.places.get(&c.place).map(|placing| &placing.leader);
+        let leader = self.link.partition_locations.get(&c.place).map(|placing| &placing.leader);
         if !c.head.key.is_empty() {
             return self.outages.note_elsewhere(None, &c.place, now);
         }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -263,7 +263,7 @@
             let held: Vec<Duty> = self
                 .granted_leases
                 .iter()
-                .filter(|(d, g)| now < g.until && is_led(d, &g.holder))
+                .filter(|(d, g)| now < g.expires_at && is_led(d, &g.holder))
                 .map(|(d, _)| d.clone())
                 .collect();
             for duty in held {
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -43,8 +43,8 @@
     /// Whether a placement voter runs on a host, or may still count as one: until a
     /// configuration without it is committed.
     fn may_vote_on_host(&self, host: &str) -> bool {
-        let is_configured = self.election.configuration().members().any(|(_, voter)| voter.host() == host);
-        is_configured || !self.election.membership_settled()
+        let is_configured = self.election.configuration().all_voters().any(|(_, voter)| voter.host() == host);
+        is_configured || !self.election.is_membership_stable()
     }
 }
 
