--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -29,7 +29,7 @@
     fn has_successor(&self, now: Time) -> bool {
         let started_recently =
             |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
-        let mut stores = self.hard.of(DaemonKind::Store).map(|member| &member.id);
+        let mut stores = self.committed.of(DaemonKind::Store).map(|member| &member.id);
         stores.any(|store| started_recently(store) && self.is_live(store, now) && self.seat_count(store) == 0)
     }
 
@@ -37,8 +37,12 @@
     /// the set after the successor has taken its first seat, and after the store has become
     /// silent.
     pub(super) fn update_departing(&mut self, now: Time) {
-        let stopping: BTreeSet<Daemon> =
-            self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.is_stopping(store)).collect();
+        let stopping: BTreeSet<Daemon> = self
+            .committed
+            .of(DaemonKind::Store)
+            .map(|member| member.id.clone())
+            .filter(|store| self.is_stopping(store))
+            .collect();
         self.replacements.departing.retain(|store| stopping.contains(store));
         if stopping.len() > self.replacements.departing.len() && self.has_successor(now) {
             let seated = stopping.into_iter().filter(|store| self.seat_count(store) > 0).collect::<Vec<_>>();
@@ -49,13 +53,12 @@
     /// Tells a stopping store whether to wait. A primary that is not serving yet can't
     /// know, so it says to wait; the store limits its wait itself.
     pub(super) fn answer_departure(&mut self, store: &Daemon, now: Time) {
-        if self.office == Office::Serving {
+        if self.phase == Office::Serving {
             self.update_departing(now);
         }
         let has_seat = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
-        let mut partitions = self.hard.layout.iter().filter(|(_, set)| has_seat(set)).map(|(partition, _)| partition);
-        let wait =
-            partitions.any(|partition| self.office != Office::Serving || self.wanted_replacement(partition, now).is_some());
+        let mut partitions = self.committed.layout.iter().filter(|(_, set)| has_seat(set)).map(|(partition, _)| partition);
+        let wait = partitions.any(|partition| self.phase != Office::Serving || self.wanted_replacement(partition, now).is_some());
         self.send(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -31,7 +31,7 @@
         now: Time,
     ) -> Option<ApiResponse> {
         let op = OperationId::numbered(order_kind(is_patch), base, json);
-        let known = self.hard.operations.known(&op, None);
+        let known = self.committed.operations.known(&op, None);
         if let Known::Done(version) = known {
             return Some(operation_done(version, &op));
         }
@@ -46,7 +46,7 @@
             return Some(self.unrecorded_response(&op, json, is_patch, now));
         }
         if base != self.rules.revision {
-            return Some(self.stale_revision_response(self.hard.config_version));
+            return Some(self.stale_revision_response(self.committed.config_version));
         }
         let canonical = match self.canonical_revision(json, is_patch, now) {
             Ok(json) => json,
@@ -56,7 +56,7 @@
                 return Some(config_error_response(&e));
             }
         };
-        let order = Order::Config { op: op.clone(), request: None, base: self.hard.config_version, json: canonical };
+        let order = Order::Config { op: op.clone(), request: None, base: self.committed.config_version, json: canonical };
         self.propose(order, ProposalOrigin::NumberedConfigRequests(vec![id], op), now);
         None
     }
@@ -65,7 +65,7 @@
     /// complete configuration that is in force was accepted; of any other it is unknown.
     fn unrecorded_response(&self, op: &OperationId, json: &str, is_patch: bool, now: Time) -> ApiResponse {
         if !is_patch && self.is_in_force(json, now) {
-            return operation_done(self.hard.config_version, op);
+            return operation_done(self.committed.config_version, op);
         }
         retry_later("this order is older than the records; whether it was taken is unknown; read the configuration")
     }
@@ -76,7 +76,7 @@
         if self.assign_spool_partitions(&mut config, now).is_err() {
             return false;
         }
-        canonical_json(&config).is_ok_and(|text| text == self.hard.config)
+        canonical_json(&config).is_ok_and(|text| text == self.committed.config)
     }
 
     /// The requests that wait for a proposed order.
@@ -101,10 +101,10 @@
 
     /// The configuration in force; an empty one when there is none.
     pub(super) fn current_config(&self) -> Result<Config, ConfigError> {
-        if self.hard.config.is_empty() {
+        if self.committed.config.is_empty() {
             return Ok(Config::default());
         }
-        dw_config::check::read(&self.hard.config)
+        dw_config::check::read(&self.committed.config)
     }
 
     /// Sets the number of partitions of the spool (the queue for routed requests) if it is
@@ -116,14 +116,14 @@
         if c.spool > 0 || c.routes.is_empty() {
             return Ok(());
         }
-        let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
+        let live: Vec<&Member> = self.committed.of(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.last_store_joined_at) < STORE_JOIN_QUIET_PERIOD {
             return Err(ConfigRejection::RetryLater(
                 "the stores are still coming in, three in two zones are needed; send it again",
             ));
         }
-        let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
+        let stores = self.committed.of(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -105,12 +105,12 @@
             let is_recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.since) < NEWCOMER_PERIOD);
             is_recent && self.is_live(&m.id, now) && self.seat_count(&m.id) == 0
         };
-        let timeout = match self.hard.of(DaemonKind::Store).any(is_newcomer) {
+        let timeout = match self.committed.of(DaemonKind::Store).any(is_newcomer) {
             true => ABSENT_AFTER_WITH_NEWCOMER,
             false => ABSENT_AFTER_WITHOUT_NEWCOMER,
         };
         let liveness_window = self.liveness_window();
-        let stores: Vec<Daemon> = self.hard.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
+        let stores: Vec<Daemon> = self.committed.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
         self.replacements.absent.retain(|d| stores.contains(d));
         for store in stores {
             let silence = self.silent_for(&store, now);
@@ -126,11 +126,11 @@
     /// at once.
     fn choose_replacements(&mut self, now: Time) {
         let size = self.target_write_set_size(now);
-        let any_too_small = self.hard.layout.values().any(|set| set.len() < size);
-        if self.replacements.is_idle() && self.hard.retiring.is_empty() && !any_too_small {
+        let any_too_small = self.committed.layout.values().any(|set| set.len() < size);
+        if self.replacements.is_idle() && self.committed.retiring.is_empty() && !any_too_small {
             return;
         }
-        let partitions: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
+        let partitions: Vec<PartitionId> = self.committed.layout.keys().cloned().collect();
         for partition in partitions {
             let current = self.replacements.active.get(&partition).map(|s| (s.removed.clone(), s.added.clone()));
             // A proposed order may still be committed: until then the store that leaves
@@ -157,7 +157,7 @@
     /// The store of a write set that should be replaced, and the one to replace it. Absent
     /// and departing stores come first: a retiring one still counts in the meantime.
     pub(super) fn wanted_replacement(&self, partition: &PartitionId, now: Time) -> Option<(Daemon, Daemon)> {
-        let set = self.hard.layout.get(partition)?;
+        let set = self.committed.layout.get(partition)?;
         let stores = || set.iter().map(|s| &s.0);
         let leaving = stores().find(|d| self.is_absent(d)).or_else(|| stores().find(|d| self.is_departing(d)));
         let replacement = leaving.and_then(|removed| Some((removed.clone(), self.choose_substitute(partition, removed, now)?)));
@@ -173,7 +173,7 @@
     /// available.
     fn target_write_set_size(&self, now: Time) -> usize {
         let remains = |m: &&Member| self.is_live(&m.id, now) && !self.is_retiring(&m.id) && !self.is_departing(&m.id);
-        self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(remains).count())
+        self.startup.tolerates.replicas(self.committed.of(DaemonKind::Store).filter(remains).count())
     }
 
     /// The store to add to a write set of fewer than `size` stores, one created when there
@@ -181,7 +181,7 @@
     /// a majority of the set after then always have a store in common. Seats that have to
     /// move come first.
     fn wanted_addition(&self, partition: &PartitionId, size: usize, now: Time) -> Option<(Daemon, Daemon)> {
-        let set = self.hard.layout.get(partition)?;
+        let set = self.committed.layout.get(partition)?;
         let must_leave = |d: &Daemon| self.is_absent(d) || self.is_departing(d) || self.is_retiring(d);
         if set.len() >= size || set.iter().any(|seat| must_leave(&seat.0)) {
             return None;
@@ -193,7 +193,7 @@
     /// Whether replacing `removed` by `added` would put more seats of a write set into one
     /// zone.
     fn worsens_zone_spread(&self, set: &[(Daemon, IncarnationId)], removed: &Daemon, added: &Daemon) -> bool {
-        let zone = |d: &Daemon| self.hard.members.get(d).map(|m| &m.zone);
+        let zone = |d: &Daemon| self.committed.members.get(d).map(|m| &m.zone);
         let max_per_zone = |stores: &[&Daemon]| {
             let mut counts: BTreeMap<Option<&Zone>, usize> = BTreeMap::new();
             for store in stores {
@@ -215,11 +215,11 @@
     /// The live store outside a write set that should join it, in place of `removed` if
     /// given.
     fn choose_joining_store(&self, partition: &PartitionId, removed: Option<&Daemon>, now: Time) -> Option<Daemon> {
-        let set = self.hard.layout.get(partition)?;
-        let zone = |d: &Daemon| self.hard.members.get(d).map(|m| m.zone.clone());
+        let set = self.committed.layout.get(partition)?;
+        let zone = |d: &Daemon| self.committed.members.get(d).map(|m| m.zone.clone());
         let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != removed).map(|s| zone(&s.0)).collect();
         let seats_in = |z: &Zone| zones.iter().filter(|x| x.as_ref() == Some(z)).count();
-        self.hard
+        self.committed
             .of(DaemonKind::Store)
             .filter(|m| Some(&m.id) != removed && self.is_live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
             .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{partition}@{}", m.id).as_bytes())))
@@ -253,7 +253,7 @@
     /// as retired.
     fn drain_retiring_stores(&mut self, now: Time) {
         let retiring: Vec<Daemon> =
-            self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
+            self.committed.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
         for store in retiring {
             if self.seat_count(&store) == 0 {
                 let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
@@ -280,7 +280,7 @@
         let is_gone = |d: &&Daemon| {
             d.kind() != DaemonKind::Placement && self.silent_for(d, now) > REMOVE_MEMBER_AFTER && self.seat_count(d) == 0
         };
-        let gone: Vec<Daemon> = self.hard.members.keys().filter(is_gone).cloned().collect();
+        let gone: Vec<Daemon> = self.committed.members.keys().filter(is_gone).cloned().collect();
         for daemon in gone {
             self.propose_unless_recent(format!("remove {daemon}"), Order::RemoveMember(daemon), now);
         }
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -7,7 +7,7 @@
 impl Placement {
     /// The store that runs on a machine.
     fn store_on_machine(&self, machine: &str) -> Option<&Member> {
-        self.hard.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
+        self.committed.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
     }
 
     /// Starts to retire the store on a machine; the same request again gets the same
@@ -21,7 +21,7 @@
     /// on it counts any more: no seat in a write set, and no vote.
     pub(super) fn retirement_status(&self, machine: &str) -> ApiResponse {
         let Some(store) = self.store_on_machine(machine) else { return unknown_machine_response() };
-        let Some(state) = self.hard.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
+        let Some(state) = self.committed.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
             return error_response(404, "this machine was not asked to retire; ask it to first");
         };
         let seats = self.seat_count(&store.id);
@@ -36,7 +36,7 @@
 
     /// The hosts of retiring stores; placement voters on them have to move as well.
     pub fn retiring_hosts(&self) -> BTreeSet<String> {
-        let stores = self.hard.of(DaemonKind::Store).filter(|m| self.is_retiring(&m.id));
+        let stores = self.committed.of(DaemonKind::Store).filter(|m| self.is_retiring(&m.id));
         stores.map(|m| host_of(&m.addr).to_string()).collect()
     }
 
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -20,7 +20,7 @@
     fn current_redundancy(&self, now: Time) -> Redundancy {
         let voters = self.election.connected_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
         let voters = Group { size: self.election.configuration().voter_names().len(), present: voters };
-        let sets = self.hard.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
+        let sets = self.committed.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
         Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
     }
 
@@ -31,7 +31,7 @@
             self.is_live(&seat.0, now) && self.daemons.get(&seat.0).is_some_and(|seen| seen.disk == seat.1)
         };
         let present = set.iter().filter(is_present);
-        present.filter_map(|seat| self.hard.members.get(&seat.0).map(|member| member.zone.clone())).collect()
+        present.filter_map(|seat| self.committed.members.get(&seat.0).map(|member| member.zone.clone())).collect()
     }
 
     /// Reports a shortfall when it has lasted for a while or changes, and when it is over.
--- a/crates/placement/src/primary/target_shards.rs
+++ b/crates/placement/src/primary/target_shards.rs
@@ -29,7 +29,7 @@
     pub(super) fn update_duties(&mut self) {
         let mut all = self.rules.duties();
         if self.rules.spool > 0 {
-            let members = self.hard.members.values().map(|m| &m.zone);
+            let members = self.committed.members.values().map(|m| &m.zone);
             let zones: BTreeSet<&Zone> = members.chain(self.worker_list.workers.iter().map(|w| &w.zone)).collect();
             all.extend(Duty::unlisted_address_shards());
             all.extend(zones.into_iter().flat_map(Duty::worker_shards_in));
@@ -53,12 +53,12 @@
     /// Whether a delivery daemon is outside the zone that a duty belongs to.
     pub(super) fn is_outside_own_zone(&self, duty: &Duty, d: &Daemon) -> bool {
         let zone = own_zone(duty);
-        zone.is_some() && zone != self.hard.members.get(d).map(|m| m.zone.clone())
+        zone.is_some() && zone != self.committed.members.get(d).map(|m| m.zone.clone())
     }
     /// The delivery daemons among which a duty may be balanced: those of its own zone while
     /// any of them is live, otherwise all.
     pub(super) fn preferred_deliveries(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
-        let all = || self.hard.of(DaemonKind::Delivery).map(|m| m.id.clone());
+        let all = || self.committed.of(DaemonKind::Delivery).map(|m| m.id.clone());
         let in_own_zone: Vec<Daemon> = all().filter(|d| !self.is_outside_own_zone(duty, d) && self.is_live(d, now)).collect();
         if in_own_zone.is_empty() {
             return all().collect();
@@ -74,7 +74,7 @@
             .iter()
             .filter(|(duty, holder)| self.is_outside_own_zone(duty, holder) && !self.is_move_delayed(duty, now))
             .filter(|(duty, _)| {
-                self.hard.of(DaemonKind::Delivery).any(|m| !self.is_outside_own_zone(duty, &m.id) && is_established(&m.id))
+                self.committed.of(DaemonKind::Delivery).any(|m| !self.is_outside_own_zone(duty, &m.id) && is_established(&m.id))
             })
             .map(|(duty, _)| duty.clone())
             .take(MAX_MOVES_TO_OWN_ZONE)
@@ -104,7 +104,7 @@
         let Some(fault) = self.connectivity_faults.get(duty).filter(|f| now.since(f.reported_at) < HOLDER_AVOIDANCE_TIME) else {
             return 0;
         };
-        let zone_of = |x: &Daemon| self.hard.members.get(x).map(|m| m.zone.clone());
+        let zone_of = |x: &Daemon| self.committed.members.get(x).map(|m| m.zone.clone());
         let (zone, holder_zone) = (zone_of(d), zone_of(&fault.holder));
         match duty {
             _ if *d == fault.holder => 3,
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -119,7 +119,7 @@
         for n in 1..=3 {
             f.add(&format!("delivery-{n}"), &format!("z{n}"));
         }
-        f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+        f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].phase == Office::Serving));
         f.run(4_000);
         f
     }
@@ -133,17 +133,17 @@
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
             seeds: names.collect(),
-            terms: LeaseTerms::default(),
+            lease_terms: LeaseTerms::default(),
             election: ElectionTiming::default(),
-            window: Span::millis(1000),
-            hold: Span::millis(3200),
+            max_report_wait: Span::millis(1000),
+            reservation_time: Span::millis(3200),
             config_lease: Span::millis(2500),
-            platform: self.platform.clone(),
-            poll: Span::millis(1000),
-            paged: !self.platform.is_empty(),
-            list_rate: self.rate,
+            worker_list_address: self.platform.clone(),
+            worker_list_interval: Span::millis(1000),
+            worker_list_is_paged: !self.platform.is_empty(),
+            worker_list_calls_per_second: self.rate,
             tolerates: self.tolerates,
-            seed: hash_of(id.as_str().as_bytes()),
+            random_seed: hash_of(id.as_str().as_bytes()),
         };
         let files = self.disks.entry(id.clone()).or_default().iter().map(|(n, b)| (n.clone(), b.clone())).collect();
         let mark = IncarnationId(hash_of(format!("disk {id}").as_bytes()));
--- a/crates/placement/tests/fleet/stores.rs
+++ b/crates/placement/tests/fleet/stores.rs
@@ -15,7 +15,7 @@
 
 /// The committed state, as the primary has it.
 pub fn hard(f: &Fleet) -> &Hard {
-    &f.cores[&f.primary().expect("a primary")].hard
+    &f.cores[&f.primary().expect("a primary")].committed
 }
 
 /// In how many write sets a store has a seat.
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -75,7 +75,7 @@
             assert_eq!(f.told[&(901 + n)].code, 200, "{orders:?}");
         }
         for (id, core) in &f.cores {
-            assert_eq!(Some(&!core.hard.empty.is_empty()), orders.last(), "{id} after {orders:?}");
+            assert_eq!(Some(&!core.committed.empty.is_empty()), orders.last(), "{id} after {orders:?}");
         }
     }
 }
@@ -130,7 +130,7 @@
     let mut f = Fleet::whole();
     assert_eq!(f.put(0, &first()).code, 200);
     let apply = |f: &Fleet, doc: &str| {
-        let base = f.cores[&f.primary().unwrap()].hard.config_version.to_string();
+        let base = f.cores[&f.primary().unwrap()].committed.config_version.to_string();
         let json = json!({"revision": 9, "doc": doc}).to_string();
         ApiRequest::Apply(ApplyRequest { operation_id: "op-1".into(), base, json, is_patch: true })
     };
@@ -147,8 +147,8 @@
     let second = routed(9, "/a/");
     assert_eq!((f.put(0, &first()).code, f.put(7, &second).code), (200, 200));
     for core in f.cores.values_mut() {
-        core.hard.operations = Operations::default();
-        core.hard.operations.incomplete_below(9);
+        core.committed.operations = Operations::default();
+        core.committed.operations.incomplete_below(9);
     }
     let v = f.put(0, &first());
     assert_eq!((v.code, v.retry_after), (503, Some(Span::millis(300))), "{}", v.json);
@@ -211,7 +211,7 @@
     assert_eq!(f.told[&n].code, 504);
     assert_eq!(f.put(7, &lost).code, 409);
     assert_eq!(f.put(7, &routed(9, "/majority/")).code, 200);
-    let configs: BTreeSet<&str> = f.cores.values().map(|c| c.hard.config.as_str()).collect();
+    let configs: BTreeSet<&str> = f.cores.values().map(|c| c.committed.config.as_str()).collect();
     assert!(configs.len() == 1 && configs.iter().all(|c| c.contains("/majority/")), "{configs:?}");
 }
 
@@ -231,9 +231,9 @@
     }
     f.until(8_000, |f| f.primary().is_some());
     f.run(2_000);
-    let lead = f.cores[&f.primary().unwrap()].hard.operations.clone();
+    let lead = f.cores[&f.primary().unwrap()].committed.operations.clone();
     assert_eq!(lead.len(), 41);
-    assert!(f.cores.values().all(|c| c.hard.operations == lead));
+    assert!(f.cores.values().all(|c| c.committed.operations == lead));
     assert_eq!(f.put(0, &first()).code, 200);
     assert_eq!(f.put(20, &routed(21, "/x13/")).code, 200);
     assert_eq!(f.put(20, &routed(21, "/other/")).code, 409);
