--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -1,10 +1,11 @@
 //! Changes of write sets: which store gives up its seat and which one takes it, and which
 //! store is added to a set that is too small for the required fault tolerance.
 //!
-//! A store leaves a write set when an operator retires it, when it stops and a successor is
-//! running (`departure`), or when it has been silent for so long that it counts as absent.
-//! The leader of the partition copies all of it to the new store under a numbered
-//! `Replacement`; only then does a committed order move the seat.
+//! A write set is the set of stores that hold the copies of a partition; a seat is the
+//! place of one store in it. A store leaves a write set when an operator retires it, when
+//! it stops and a successor is running (`departure`), or when it has been silent for so
+//! long that it counts as absent. The leader of the partition copies all of it to the new
+//! store under a numbered `Replacement`; only then does a committed order move the seat.
 use crate::prelude::*;
 
 /// A longer pause than this between two rounds means that the primary was frozen or cut
