--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -1,6 +1,6 @@
 //! The versions of placement's hard state.
 use super::*;
-use dw_placement::hard_files::{Found, HardFiles};
+use dw_placement::hard_files::{HardStateFiles, StoredState};
 use dw_placement::prelude::{HardState, IncarnationId, Order, Term};
 use proptest::prelude::*;
 
@@ -21,11 +21,11 @@
     /// One life: reads the folder, and saves until the power is lost.
     fn live(&mut self, directory: &ModelDirectory, dice: &mut Dice) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
-        let (mut hard, found) = HardFiles::read(&files);
+        let (mut hard, found) = HardStateFiles::read(&files);
         match found {
-            Found::Lost => prop_assert!(false, "amnesia, with {} reported as saved", self.reported),
-            Found::Nothing => prop_assert_eq!(self.reported, 0),
-            Found::State(found) => {
+            StoredState::Unreadable => prop_assert!(false, "amnesia, with {} reported as saved", self.reported),
+            StoredState::Missing => prop_assert_eq!(self.reported, 0),
+            StoredState::Readable(found) => {
                 prop_assert!(found.term.0 >= self.reported, "term {} for {}", found.term.0, self.reported);
                 prop_assert!(found.term.0 <= self.asked);
                 self.reported = found.term.0;
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    fn save(&mut self, directory: &ModelDirectory, folder: &Folder, hard: &mut HardFiles, dice: &mut Dice) -> bool {
+    fn save(&mut self, directory: &ModelDirectory, folder: &Folder, hard: &mut HardStateFiles, dice: &mut Dice) -> bool {
         let mut out = Vec::new();
         for _ in 0..1 + dice.below(3) {
             self.asked += 1;
--- a/crates/placement/src/hard_files.rs
+++ b/crates/placement/src/hard_files.rs
@@ -17,13 +17,13 @@
 }
 
 /// What a folder holds at the start.
-pub enum Found {
+pub enum StoredState {
     /// No file of the hard state.
-    Nothing,
+    Missing,
     /// The newest file is whole.
-    State(Box<HardState<Order>>),
+    Readable(Box<HardState<Order>>),
     /// The newest file can't be read: what was promised in it is lost.
-    Lost,
+    Unreadable,
 }
 
 /// A save that waits for the one under way.
@@ -34,7 +34,7 @@
 
 /// Which versions there are, and which save is under way.
 #[derive(Default)]
-pub struct HardFiles {
+pub struct HardStateFiles {
     newest: u64,
     /// Older files, to be removed behind the next save.
     outdated: Vec<String>,
@@ -42,22 +42,22 @@
     waiting: Option<Waiting>,
 }
 
-impl HardFiles {
+impl HardStateFiles {
     /// Reads a folder back. A file is renamed to its name only after its
     /// bytes were synced, so one that can't be read was altered by the disk;
     /// an older one that can't be read tells nothing, as the newest holds all.
-    pub fn read(files: &[(String, Bytes)]) -> (HardFiles, Found) {
+    pub fn read(files: &[(String, Bytes)]) -> (HardStateFiles, StoredState) {
         let mut all: Vec<(u64, &Bytes)> = files.iter().filter_map(|(name, bytes)| Some((version_of(name)?, bytes))).collect();
         all.sort_by_key(|f| f.0);
-        let Some((newest, bytes)) = all.last().copied() else { return (HardFiles::default(), Found::Nothing) };
+        let Some((newest, bytes)) = all.last().copied() else { return (HardStateFiles::default(), StoredState::Missing) };
         let found = match decode::<HardState<Order>>(bytes) {
-            Ok(state) => Found::State(Box::new(state)),
-            Err(_) => Found::Lost,
+            Ok(state) => StoredState::Readable(Box::new(state)),
+            Err(_) => StoredState::Unreadable,
         };
         // The newest stays until a newer one is saved, also if it can't be
         // read: else an older one would count at the next start.
         let outdated = all.iter().map(|f| file_name(f.0)).collect();
-        (HardFiles { newest, outdated, ..HardFiles::default() }, found)
+        (HardStateFiles { newest, outdated, ..HardStateFiles::default() }, found)
     }
 
     /// Asks for a save, now or behind the one under way.
--- a/crates/placement/src/operations.rs
+++ b/crates/placement/src/operations.rs
@@ -3,7 +3,7 @@
 
 /// All records together take no more bytes than this. They are part of the
 /// hard state, which is written whole with every save.
-pub const OPERATIONS_BYTES: usize = 256 << 10;
+pub const MAX_OPERATIONS_BYTES: usize = 256 << 10;
 
 /// The most bytes that a record takes without its operator's own id.
 const RECORD_BYTES: usize = 80;
@@ -39,13 +39,13 @@
 
 /// What is known of an order that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum OperationStatus {
     /// It was carried out and made this version.
     Done(Version),
     /// It was surely not carried out.
     NotDone,
     /// Its id was used for a different request.
-    Reused,
+    IdReused,
     /// Its record may have been dropped.
     Unknown,
 }
@@ -69,12 +69,12 @@
     }
 
     /// What is known of an order with this id and request.
-    pub fn known(&self, id: &OperationId, request: Option<OrderDigest>) -> Known {
+    pub fn status(&self, id: &OperationId, request: Option<OrderDigest>) -> OperationStatus {
         if let Some(operation) = self.find(id) {
             return match (operation.is_for(request), operation.request) {
-                (true, _) => Known::Done(operation.version),
-                (false, Some(_)) => Known::Reused,
-                (false, None) => Known::Unknown,
+                (true, _) => OperationStatus::Done(operation.version),
+                (false, Some(_)) => OperationStatus::IdReused,
+                (false, None) => OperationStatus::Unknown,
             };
         }
         let complete = match id {
@@ -82,26 +82,26 @@
             OperationId::Named(_) => !self.named_dropped,
         };
         if complete {
-            return Known::NotDone;
+            return OperationStatus::NotDone;
         }
-        Known::Unknown
+        OperationStatus::Unknown
     }
 
     pub fn record(&mut self, operation: Operation) {
         self.records.push_back(operation);
         let mut weight: usize = self.records.iter().map(Operation::weight).sum();
-        while weight > OPERATIONS_BYTES {
+        while weight > MAX_OPERATIONS_BYTES {
             let Some(oldest) = self.records.pop_front() else { return };
             weight -= oldest.weight();
             match oldest.id {
-                OperationId::Numbered(base, _) => self.incomplete_below(base.saturating_add(1)),
+                OperationId::Numbered(base, _) => self.mark_incomplete_below(base.saturating_add(1)),
                 OperationId::Named(_) => self.named_dropped = true,
             }
         }
     }
 
     /// Numbered configurations on bases below `revision` may be missing.
-    pub fn incomplete_below(&mut self, revision: u64) {
+    pub fn mark_incomplete_below(&mut self, revision: u64) {
         self.complete_since = self.complete_since.max(revision);
     }
 
--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -26,16 +26,20 @@
     }
 
     fn successor_is_there(&self, now: Time) -> bool {
-        let recent = |store: &Daemon| self.seen.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_WITHIN);
-        let mut stores = self.hard.of(DaemonKind::Store).map(|member| &member.id);
+        let recent = |store: &Daemon| self.seen.get(store).is_some_and(|seen| now.since(seen.live_since) < SUCCESSOR_WITHIN);
+        let mut stores = self.hard.members_of_kind(DaemonKind::Store).map(|member| &member.id);
         stores.any(|store| recent(store) && self.live(store, now) && self.seats_of(store) == 0)
     }
 
     /// Notes which stores stop. One that was given a successor keeps it when
     /// that one has taken its first seat, and after it has gone silent.
     pub(super) fn mark_departing(&mut self, now: Time) {
-        let stopping: BTreeSet<Daemon> =
-            self.hard.of(DaemonKind::Store).map(|member| member.id.clone()).filter(|store| self.stopping(store)).collect();
+        let stopping: BTreeSet<Daemon> = self
+            .hard
+            .members_of_kind(DaemonKind::Store)
+            .map(|member| member.id.clone())
+            .filter(|store| self.stopping(store))
+            .collect();
         self.replacements.departing.retain(|store| stopping.contains(store));
         if stopping.len() > self.replacements.departing.len() && self.successor_is_there(now) {
             let seated = stopping.into_iter().filter(|store| self.seats_of(store) > 0).collect::<Vec<_>>();
@@ -46,12 +50,12 @@
     /// Tells a store that was told to stop whether to wait. A primary that has
     /// not heard everybody yet can't know; the store bounds its wait.
     pub(super) fn answer_departure(&mut self, store: &Daemon, now: Time) {
-        if self.office == Office::Serving {
+        if self.office == PrimaryPhase::Serving {
             self.mark_departing(now);
         }
         let seated = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
         let mut places = self.hard.layout.iter().filter(|(_, set)| seated(set)).map(|(place, _)| place);
-        let wait = places.any(|place| self.office != Office::Serving || self.wanted_swap(place, now).is_some());
+        let wait = places.any(|place| self.office != PrimaryPhase::Serving || self.wanted_swap(place, now).is_some());
         self.say(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -56,7 +56,7 @@
     /// Deliveries among which a duty may be evened out: those of its own zone
     /// while any of them is live.
     pub(super) fn homes(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
-        let all = || self.hard.of(DaemonKind::Delivery).map(|m| m.id.clone());
+        let all = || self.hard.members_of_kind(DaemonKind::Delivery).map(|m| m.id.clone());
         let near: Vec<Daemon> = all().filter(|d| !self.abroad(duty, d) && self.live(d, now)).collect();
         if near.is_empty() {
             return all().collect();
@@ -66,11 +66,13 @@
     /// Asks holders abroad to give up what a delivery of the duty's own zone
     /// can take. Ends: each such move leaves one duty less abroad.
     pub(super) fn send_home(&mut self, held: &[(Duty, Daemon)], now: Time) -> bool {
-        let settled = |d: &Daemon| self.live(d, now) && self.seen.get(d).is_some_and(|s| now.since(s.since) >= SETTLED);
+        let settled = |d: &Daemon| self.live(d, now) && self.seen.get(d).is_some_and(|s| now.since(s.live_since) >= SETTLED);
         let home: Vec<Duty> = held
             .iter()
             .filter(|(duty, holder)| self.abroad(duty, holder) && !self.kept_away(duty, now))
-            .filter(|(duty, _)| self.hard.of(DaemonKind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id)))
+            .filter(|(duty, _)| {
+                self.hard.members_of_kind(DaemonKind::Delivery).any(|m| !self.abroad(duty, &m.id) && settled(&m.id))
+            })
             .map(|(duty, _)| duty.clone())
             .take(HOMEWARD)
             .collect();
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -86,7 +86,7 @@
 
     /// For how long a daemon was not heard while this primary listened.
     pub(super) fn silence(&self, daemon: &Daemon, now: Time) -> Span {
-        let heard = self.seen.get(daemon).map_or(Time(0), |s| s.at);
+        let heard = self.seen.get(daemon).map_or(Time(0), |s| s.last_pull_at);
         now.since(heard.max(self.replacements.listening))
     }
 
@@ -97,15 +97,15 @@
 
     fn mark_absent(&mut self, now: Time) {
         let newcomer = |m: &Member| {
-            let recent = self.seen.get(&m.id).is_some_and(|s| now.since(s.since) < NEW);
+            let recent = self.seen.get(&m.id).is_some_and(|s| now.since(s.live_since) < NEW);
             recent && self.live(&m.id, now) && self.seats_of(&m.id) == 0
         };
-        let patience = match self.hard.of(DaemonKind::Store).any(newcomer) {
+        let patience = match self.hard.members_of_kind(DaemonKind::Store).any(newcomer) {
             true => REPLACED,
             false => MOVED,
         };
         let lively = self.lively();
-        let stores: Vec<Daemon> = self.hard.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
+        let stores: Vec<Daemon> = self.hard.members_of_kind(DaemonKind::Store).map(|m| m.id.clone()).collect();
         self.replacements.absent.retain(|d| stores.contains(d));
         for store in stores {
             let silence = self.silence(&store, now);
@@ -122,7 +122,7 @@
     fn choose_swaps(&mut self, now: Time) {
         let width = self.wanted_width(now);
         let narrow = self.hard.layout.values().any(|set| set.len() < width);
-        if self.replacements.idle() && self.hard.retiring.is_empty() && !narrow {
+        if self.replacements.idle() && self.hard.retiring_stores.is_empty() && !narrow {
             return;
         }
         let places: Vec<PartitionId> = self.hard.layout.keys().cloned().collect();
@@ -164,7 +164,7 @@
     /// How many stores a write set should have, of those that are there.
     fn wanted_width(&self, now: Time) -> usize {
         let stays = |m: &&Member| self.live(&m.id, now) && !self.retiring(&m.id) && !self.departing(&m.id);
-        self.startup.tolerates.replicas(self.hard.of(DaemonKind::Store).filter(stays).count())
+        self.startup.tolerates.replicas(self.hard.members_of_kind(DaemonKind::Store).filter(stays).count())
     }
 
     /// The store that takes one more seat in a write set of fewer than `width`
@@ -209,7 +209,7 @@
         let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != out).map(|s| zone(&s.0)).collect();
         let seats_in = |z: &Zone| zones.iter().filter(|x| x.as_ref() == Some(z)).count();
         self.hard
-            .of(DaemonKind::Store)
+            .members_of_kind(DaemonKind::Store)
             .filter(|m| Some(&m.id) != out && self.live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
             .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{place}@{}", m.id).as_bytes())))
             .map(|m| m.id.clone())
@@ -241,7 +241,8 @@
     /// Asks retiring stores to give up what they keep; one without a seat has
     /// retired.
     fn empty_retiring(&mut self, now: Time) {
-        let leaving: Vec<Daemon> = self.hard.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
+        let leaving: Vec<Daemon> =
+            self.hard.retiring_stores.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
         for store in leaving {
             if self.seats_of(&store) == 0 {
                 let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
--- a/crates/placement/src/primary/retirement.rs
+++ b/crates/placement/src/primary/retirement.rs
@@ -7,7 +7,7 @@
 impl Placement {
     /// The store that runs on a machine.
     fn store_on(&self, machine: &str) -> Option<&Member> {
-        self.hard.of(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
+        self.hard.members_of_kind(DaemonKind::Store).find(|m| !machine.is_empty() && m.machine == machine)
     }
 
     /// Takes the order to empty a machine; the same order again is
@@ -21,7 +21,7 @@
     /// it counts any more: no seat in a write set, and no vote.
     pub(super) fn retirement(&self, machine: &str) -> ApiResponse {
         let Some(store) = self.store_on(machine) else { return unknown_machine() };
-        let Some(state) = self.hard.retiring.get(&store.id).filter(|r| **r != Retirement::None) else {
+        let Some(state) = self.hard.retiring_stores.get(&store.id).filter(|r| **r != Retirement::None) else {
             return wrong(404, "this machine was not asked to retire; ask it to first");
         };
         let seats = self.seats_of(&store.id);
@@ -33,7 +33,7 @@
 
     /// The hosts of retiring stores; their placement votes have to move too.
     pub fn retiring_hosts(&self) -> BTreeSet<String> {
-        let stores = self.hard.of(DaemonKind::Store).filter(|m| self.retiring(&m.id));
+        let stores = self.hard.members_of_kind(DaemonKind::Store).filter(|m| self.retiring(&m.id));
         stores.map(|m| host_of(&m.addr).to_string()).collect()
     }
 
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -21,8 +21,8 @@
 impl Placement {
     pub(super) fn revise(&mut self, id: RequestId, base: u64, json: &str, part: bool, now: Time) -> Option<ApiResponse> {
         let op = OperationId::numbered(kind_of(part), base, json);
-        let known = self.hard.operations.known(&op, None);
-        if let Known::Done(version) = known {
+        let known = self.hard.operations.status(&op, None);
+        if let OperationStatus::Done(version) = known {
             return Some(done(version, &op));
         }
         if let Some(all) = self.waiting(&op) {
@@ -32,7 +32,7 @@
             all.push(id);
             return None;
         }
-        if base != self.rules.revision && known == Known::Unknown {
+        if base != self.rules.revision && known == OperationStatus::Unknown {
             return Some(self.unrecorded(&op, json, part, now));
         }
         if base != self.rules.revision {
@@ -107,12 +107,12 @@
         if c.spool > 0 || c.routes.is_empty() {
             return Ok(());
         }
-        let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.live(&m.id, now)).collect();
+        let live: Vec<&Member> = self.hard.members_of_kind(DaemonKind::Store).filter(|m| self.live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.grown) < GROWING {
             return Err(Unfit::Later("the stores are still coming in, three in two zones are needed; send it again"));
         }
-        let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.retiring(&m.id)).count();
+        let stores = self.hard.members_of_kind(DaemonKind::Store).filter(|m| !self.retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -18,16 +18,16 @@
 impl Placement {
     fn redundancy(&self, now: Time) -> Redundancy {
         let voters = self.election.present_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
-        let voters = Group { size: self.election.configuration().names().len(), present: voters };
-        let sets = self.hard.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
-        Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
+        let voters = QuorumGroup { size: self.election.configuration().names().len(), present: voters };
+        let sets = self.hard.layout.values().map(|set| QuorumGroup { size: set.len(), present: self.present_zones(set, now) });
+        Redundancy::new(voters, sets.collect(), &self.startup.tolerates)
     }
 
     /// Zones of the stores of a write set that are live with the folder that
     /// counts.
     fn present_zones(&self, set: &[(Daemon, IncarnationId)], now: Time) -> Vec<Zone> {
         let is_present = |seat: &&(Daemon, IncarnationId)| {
-            self.live(&seat.0, now) && self.seen.get(&seat.0).is_some_and(|seen| seen.disk == seat.1)
+            self.live(&seat.0, now) && self.seen.get(&seat.0).is_some_and(|seen| seen.disk_id == seat.1)
         };
         let present = set.iter().filter(is_present);
         present.filter_map(|seat| self.hard.members.get(&seat.0).map(|member| member.zone.clone())).collect()
@@ -59,15 +59,15 @@
     pub(super) fn redundancy_status(&self, now: Time) -> Value {
         let stated = &self.startup.tolerates;
         let redundancy = self.redundancy(now);
-        let group = |group: &Group| {
-            json!({"size": group.size, "present": group.present.len(), "machines": group.machines(),
-                   "zones": group.bears_zones(stated.zones)})
+        let group = |group: &QuorumGroup| {
+            json!({"size": group.size, "present": group.present.len(), "machines": group.spare_machines(),
+                   "zones": group.survives_zone_losses(stated.zones)})
         };
         json!({
             "stated": {"machines": stated.machines, "zones": stated.zones, "regions": stated.regions},
             "voters": group(&redundancy.voters),
-            "weakest_write_set": redundancy.weakest_set.as_ref().map(group),
-            "weak_write_sets": redundancy.weak_sets,
+            "weakest_write_set": redundancy.weakest_write_set.as_ref().map(group),
+            "weak_write_sets": redundancy.weak_write_sets,
             "shortfall": redundancy.shortfall(stated),
         })
     }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -119,7 +119,7 @@
         for n in 1..=3 {
             f.add(&format!("delivery-{n}"), &format!("z{n}"));
         }
-        f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+        f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
         f.run(4_000);
         f
     }
--- a/crates/placement/tests/fleet/stores.rs
+++ b/crates/placement/tests/fleet/stores.rs
@@ -14,7 +14,7 @@
 }
 
 /// The committed state, as the primary has it.
-pub fn hard(f: &Fleet) -> &Hard {
+pub fn hard(f: &Fleet) -> &PlacementState {
     &f.cores[&f.primary().expect("a primary")].hard
 }
 
--- a/crates/placement/tests/operations.rs
+++ b/crates/placement/tests/operations.rs
@@ -1,5 +1,5 @@
 //! The records of operators' orders, as they are kept and read back.
-use dw_placement::operations::OPERATIONS_BYTES;
+use dw_placement::operations::MAX_OPERATIONS_BYTES;
 use dw_placement::prelude::*;
 
 /// The hard state of the earlier form: configuration 9, made by an order that
@@ -69,12 +69,12 @@
     assert!(kept >= 3_000 && kept < count, "{kept} are kept");
     let oldest = count - kept;
     for base in [0, oldest - 1] {
-        assert_eq!(operations.known(&numbered(base), None), Known::Unknown, "base {base}");
+        assert_eq!(operations.status(&numbered(base), None), OperationStatus::Unknown, "base {base}");
     }
     for base in [oldest, count - 1] {
-        assert_eq!(operations.known(&numbered(base), None), Known::Done(version(1, base + 1)), "base {base}");
+        assert_eq!(operations.status(&numbered(base), None), OperationStatus::Done(version(1, base + 1)), "base {base}");
         let other = OperationId::numbered(OrderKind::Whole, base, "other words");
-        assert_eq!(operations.known(&other, None), Known::NotDone, "base {base}");
+        assert_eq!(operations.status(&other, None), OperationStatus::NotDone, "base {base}");
     }
 }
 
@@ -83,7 +83,7 @@
     for count in [256, 1_000, 10_000] {
         let size = encode(&recorded(count)).len();
         println!("{count} orders: {size} bytes");
-        assert!(size <= OPERATIONS_BYTES + 1_024, "{size} bytes of {count} orders");
+        assert!(size <= MAX_OPERATIONS_BYTES + 1_024, "{size} bytes of {count} orders");
     }
     let mut operations = Operations::default();
     for n in 0..10_000u64 {
@@ -92,7 +92,7 @@
         operations.record(Operation { id, request, version: version(u64::MAX, u64::MAX) });
     }
     let size = encode(&operations).len();
-    assert!(size <= OPERATIONS_BYTES + 1_024, "{size} bytes of named orders");
+    assert!(size <= MAX_OPERATIONS_BYTES + 1_024, "{size} bytes of named orders");
 }
 
 #[test]
@@ -101,30 +101,30 @@
     let id = OperationId::Named("op-1".into());
     let [one, two] = ["one", "two"].map(|words| Some(OrderDigest::of(OrderKind::Patch, 0, words)));
     operations.record(Operation { id: id.clone(), request: one, version: version(1, 1) });
-    assert_eq!(operations.known(&id, one), Known::Done(version(1, 1)));
-    assert_eq!(operations.known(&id, two), Known::Reused);
+    assert_eq!(operations.status(&id, one), OperationStatus::Done(version(1, 1)));
+    assert_eq!(operations.status(&id, two), OperationStatus::IdReused);
 }
 
 #[test]
 fn a_state_of_the_earlier_form_is_read_and_proves_nothing_of_its_orders() {
-    let hard = Hard::read(&bytes(EARLIER_STATE)).expect("readable");
+    let hard = PlacementState::read(&bytes(EARLIER_STATE)).expect("readable");
     assert_eq!((hard.config.as_str(), hard.config_version), ("{\"revision\":9,\"doc\":\"x\"}", version(2, 5)));
-    assert!(hard.empty.contains(&Zone("z1".into())));
+    assert!(hard.empty_zones.contains(&Zone("z1".into())));
     for base in [0, 7, 8] {
-        assert_eq!(hard.operations.known(&numbered(base), None), Known::Unknown, "base {base}");
+        assert_eq!(hard.operations.status(&numbered(base), None), OperationStatus::Unknown, "base {base}");
     }
-    assert_eq!(hard.operations.known(&numbered(9), None), Known::NotDone);
+    assert_eq!(hard.operations.status(&numbered(9), None), OperationStatus::NotDone);
     let named = OperationId::Named("by-hand".into());
     let request = Some(OrderDigest::of(OrderKind::Whole, 0, "words"));
-    assert_eq!(hard.operations.known(&named, request), Known::Unknown);
-    assert_eq!(Hard::read(&encode(&hard)), Some(hard));
+    assert_eq!(hard.operations.status(&named, request), OperationStatus::Unknown);
+    assert_eq!(PlacementState::read(&encode(&hard)), Some(hard));
 }
 
 #[test]
 fn a_log_entry_of_the_earlier_form_is_read_and_proves_nothing() {
     let order: Order = decode(&bytes(EARLIER_ORDER)).expect("readable");
-    let mut hard = Hard::default();
+    let mut hard = PlacementState::default();
     assert_eq!(hard.apply(3, Term(1), &order), Applied::Done(version(1, 3)));
-    assert_eq!(hard.operations.known(&numbered(0), None), Known::Unknown);
-    assert_eq!(hard.operations.known(&numbered(7), None), Known::NotDone);
+    assert_eq!(hard.operations.status(&numbered(0), None), OperationStatus::Unknown);
+    assert_eq!(hard.operations.status(&numbered(7), None), OperationStatus::NotDone);
 }
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -75,7 +75,7 @@
             assert_eq!(f.told[&(901 + n)].code, 200, "{orders:?}");
         }
         for (id, core) in &f.cores {
-            assert_eq!(Some(&!core.hard.empty.is_empty()), orders.last(), "{id} after {orders:?}");
+            assert_eq!(Some(&!core.hard.empty_zones.is_empty()), orders.last(), "{id} after {orders:?}");
         }
     }
 }
@@ -148,7 +148,7 @@
     assert_eq!((f.put(0, &first()).code, f.put(7, &second).code), (200, 200));
     for core in f.cores.values_mut() {
         core.hard.operations = Operations::default();
-        core.hard.operations.incomplete_below(9);
+        core.hard.operations.mark_incomplete_below(9);
     }
     let v = f.put(0, &first());
     assert_eq!((v.code, v.retry_after), (503, Some(Span::millis(300))), "{}", v.json);
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -116,7 +116,7 @@
     let before = mine(&f);
     let old = f.primary().unwrap();
     f.kill(&old);
-    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     f.run(10_000);
     assert_eq!(mine(&f), before);
 }
@@ -148,7 +148,7 @@
     let old = f.primary().unwrap();
     f.kill(&old);
     // The new primary has not read the list, and the platform says nothing.
-    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     f.run(10_000);
     assert_eq!(f.holders("z9"), before);
 }
--- a/crates/placement/tests/redundancy.rs
+++ b/crates/placement/tests/redundancy.rs
@@ -2,29 +2,29 @@
 mod fleet;
 use fleet::*;
 
-fn group(size: usize, present: &[&str]) -> Group {
-    Group { size, present: present.iter().map(|zone| Zone(zone.to_string())).collect() }
+fn group(size: usize, present: &[&str]) -> QuorumGroup {
+    QuorumGroup { size, present: present.iter().map(|zone| Zone(zone.to_string())).collect() }
 }
 
 #[test]
 fn a_group_bears_what_leaves_a_majority() {
     let one = Tolerance { machines: 1, zones: 1, regions: 0 };
     let two = Tolerance { machines: 2, ..one };
-    assert!(group(3, &["a", "b", "c"]).bears(&one));
-    assert!(!group(3, &["a", "b"]).bears(&one), "one of three is away");
-    assert!(!group(3, &["a", "b", "b"]).bears(&one), "zone b has a majority");
-    assert!(!group(4, &["a", "b", "c", "d"]).bears(&two), "four bear no more than three");
-    assert!(group(5, &["a", "a", "b", "b", "c"]).bears(&two));
-    assert!(!group(5, &["a", "a", "a", "b", "c"]).bears(&two), "zone a has a majority");
-    assert!(!group(5, &["a", "b", "c"]).bears(&one), "nothing more may go");
-    assert!(!group(3, &["a", "b", "c"]).bears(&Tolerance { zones: 2, ..one }), "two of three zones");
+    assert!(group(3, &["a", "b", "c"]).tolerates(&one));
+    assert!(!group(3, &["a", "b"]).tolerates(&one), "one of three is away");
+    assert!(!group(3, &["a", "b", "b"]).tolerates(&one), "zone b has a majority");
+    assert!(!group(4, &["a", "b", "c", "d"]).tolerates(&two), "four bear no more than three");
+    assert!(group(5, &["a", "a", "b", "b", "c"]).tolerates(&two));
+    assert!(!group(5, &["a", "a", "a", "b", "c"]).tolerates(&two), "zone a has a majority");
+    assert!(!group(5, &["a", "b", "c"]).tolerates(&one), "nothing more may go");
+    assert!(!group(3, &["a", "b", "c"]).tolerates(&Tolerance { zones: 2, ..one }), "two of three zones");
 }
 
 #[test]
 fn losses_of_regions_are_said_not_to_be_planned_for() {
     let stated = Tolerance { machines: 1, zones: 1, regions: 1 };
     let whole = group(3, &["a", "b", "c"]);
-    let short = Redundancy::of(whole.clone(), vec![whole], &stated).shortfall(&stated);
+    let short = Redundancy::new(whole.clone(), vec![whole], &stated).shortfall(&stated);
     assert_eq!(short, ["the loss of 1 regions is not planned for: only zones are known"]);
 }
 
--- a/crates/placement/tests/replacement.rs
+++ b/crates/placement/tests/replacement.rs
@@ -215,14 +215,14 @@
     f.kill(&primary);
     f.until(8_000, |f| f.primary().is_some());
     // The window is a second; every daemon that is left pulls within 400 ms.
-    f.until(700, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(700, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
 }
 
 fn bearing_two(stores: usize) -> Fleet {
     let tolerates = Tolerance { machines: 2, ..Tolerance::default() };
     let mut f = Fleet::founded("", 0.0, tolerates);
     f.stores(stores);
-    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     f.run(4_000);
     assert_eq!(f.put(0, &first()).code, 200);
     f.run(4_000);
@@ -310,7 +310,7 @@
     let gone: Vec<Fake> = ["store-2", "store-3", "store-4"].map(|store| lose(&mut f, store)).into();
     let primary = f.primary().unwrap();
     f.kill(&primary);
-    f.until(9_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(9_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     // Whatever this one says it holds, it has no copy that counts.
     let long = f.now + Span::secs(60);
     let claims = before.iter().map(|(duty, epoch)| (duty.clone(), (*epoch, long))).collect();
--- a/crates/placement/tests/retirement.rs
+++ b/crates/placement/tests/retirement.rs
@@ -114,5 +114,5 @@
     (fresh.machine, fresh.disk_id, fresh.incarnation) = ("another".to_string(), IncarnationId(77), IncarnationId(9));
     f.run(2_000);
     assert_eq!(told(&mut f, "another").0, 404);
-    assert!(!f.cores[&f.primary().unwrap()].hard.retiring.contains_key(&daemon("store-1")));
+    assert!(!f.cores[&f.primary().unwrap()].hard.retiring_stores.contains_key(&daemon("store-1")));
 }
--- a/crates/placement/tests/revision.rs
+++ b/crates/placement/tests/revision.rs
@@ -326,7 +326,7 @@
     f.drain();
     f.run(300);
     assert_eq!((f.told[&901].code, f.told[&902].code), (200, 200));
-    assert!(f.cores[&at].hard.empty.is_empty());
+    assert!(f.cores[&at].hard.empty_zones.is_empty());
 }
 
 #[test]
@@ -374,7 +374,7 @@
     // It may lead now, and shows nothing old: the others follow it.
     let primary = f.primary().unwrap();
     f.kill(&primary);
-    f.until(9_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(9_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     assert_eq!(shown(&mut f), newest);
     assert_eq!(f.cores[&away].hard.config, f.cores[&f.primary().unwrap()].hard.config);
 }
--- a/crates/placement/tests/widening.rs
+++ b/crates/placement/tests/widening.rs
@@ -12,7 +12,7 @@
     for n in 1..=3 {
         f.add(&format!("delivery-{n}"), &format!("z{n}"));
     }
-    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == Office::Serving));
+    f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
     f.run(6_000);
     assert_eq!(f.put(0, &first()).code, 200);
     f.run(6_000);
--- a/crates/scale/src/axes/workers.rs
+++ b/crates/scale/src/axes/workers.rs
@@ -28,6 +28,6 @@
 
 fn listed(f: &Fleet) -> Vec<Worker> {
     let mut list = dw_placement::prelude::WorkerList::default();
-    let _ = list.take(&f.shape.listed(), Time(1_000_000));
+    let _ = list.read_unpaged(&f.shape.listed(), Time(1_000_000));
     list.workers
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::thread_time::{nanos, reading_cost};
 use dw_delivery::prelude::{Delivery, Startup as Carrier};
 use dw_ingest::prelude::{Agent, Proxy, Startup as Edge};
-use dw_placement::prelude::{ElectionTiming, Hard, Placement, Startup as Placer};
+use dw_placement::prelude::{ElectionTiming, Placement, PlacementState, Startup as Placer};
 use dw_queue::prelude::{Startup as StoreStartup, Store};
 use dw_shell::prelude::{Bounds, Times};
 use std::collections::HashMap;
@@ -92,7 +92,7 @@
     }
 
     /// Adds one daemon as its program would start it.
-    pub fn add(&mut self, id: Daemon, hard: &Hard) {
+    pub fn add(&mut self, id: Daemon, hard: &PlacementState) {
         let disk: BTreeMap<String, Bytes> = match id.kind() {
             DaemonKind::Placement => self.shape.folder(&id, hard).into_iter().collect(),
             _ => BTreeMap::new(),
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -3,7 +3,7 @@
 use crate::prelude::*;
 use dw_config::prelude::Config;
 use dw_election::prelude::{Configuration, HardState, Snapshot, Voter};
-use dw_placement::prelude::Hard;
+use dw_placement::prelude::PlacementState;
 use serde_json::{json, Value};
 
 /// Invariant: names and addresses are as long as a large fleet's.
@@ -127,7 +127,7 @@
 
     /// The hard state of a fleet that has stood for a while: all members are
     /// taken in, the configuration is in force and write sets are laid out.
-    pub fn hard(&self) -> Hard {
+    pub fn hard(&self) -> PlacementState {
         let first = Version { term: Term(1), count: 1 };
         let config = self.config_text();
         let rules = dw_config::check::read(&config).map(|c| dw_config::prelude::compile(&c, first)).unwrap_or_default();
@@ -138,18 +138,18 @@
             let set = (0..3.min(stores.len())).map(|n| &stores[(at + n) % stores.len()]).map(|d| (d.clone(), mark_of(d)));
             layout.insert(place, set.collect());
         }
-        Hard {
+        PlacementState {
             config,
             config_version: first,
             members: self.members().into_iter().map(|m| (m.id.clone(), m)).collect(),
             members_version: first,
             layout,
-            ..Hard::default()
+            ..PlacementState::default()
         }
     }
 
     /// One placement daemon's folder.
-    pub fn folder(&self, d: &Daemon, hard: &Hard) -> Vec<(String, Bytes)> {
+    pub fn folder(&self, d: &Daemon, hard: &PlacementState) -> Vec<(String, Bytes)> {
         let voter = |seed: &Daemon| {
             let member = self.member(seed);
             Voter { mark: mark_of(seed), address: member.addr, zone: member.zone }
