--- a/crates/election/src/earlier_format.rs
+++ b/crates/election/src/earlier_format.rs
@@ -1,9 +1,10 @@
-//! Reads the hard state that the version before this one wrote: members as a
-//! map of marks without addresses, and changes of one member as entries.
+//! Reads the hard state that the previous version wrote. It stored the
+//! configuration as a map from name to disk id, without addresses, and changed
+//! the membership by log entries that added or removed one member.
 use crate::configuration::Voters;
 use crate::prelude::*;
 
-/// A configuration in either form.
+/// A stored configuration, in the current or the earlier format.
 #[derive(Deserialize)]
 #[serde(untagged)]
 pub enum StoredConfiguration {
@@ -11,10 +12,10 @@
     Earlier(BTreeMap<Daemon, IncarnationId>),
 }
 
-/// A voter whose address is not recorded; its seed list or its own messages
-/// tell where it is.
-fn without_address(mark: IncarnationId) -> Voter {
-    Voter { mark, ..Voter::default() }
+/// A voter whose address was not stored. It is found through the seed list or
+/// through its own messages.
+fn without_address(disk_id: IncarnationId) -> Voter {
+    Voter { disk_id, ..Voter::default() }
 }
 
 impl From<StoredConfiguration> for Configuration {
@@ -22,21 +23,22 @@
         match stored {
             StoredConfiguration::Current { voters, outgoing } => Configuration { voters, outgoing },
             StoredConfiguration::Earlier(marks) => {
-                Configuration::of(marks.into_iter().map(|(daemon, mark)| (daemon, without_address(mark))).collect())
+                Configuration::simple(marks.into_iter().map(|(daemon, disk_id)| (daemon, without_address(disk_id))).collect())
             }
         }
     }
 }
 
 impl<C> HardState<C> {
-    /// Replaces entries that changed one member by the configuration that
-    /// they led to. Call it once, on a state that was read from disk.
+    /// Replaces each entry that added or removed one member by the
+    /// configuration that resulted from it. Call it once on a state read from
+    /// disk.
     pub fn upgraded(mut self) -> HardState<C> {
         let mut configuration = self.snapshot.configuration.clone();
         for entry in &mut self.log {
             match &entry.command {
-                Command::Admit(daemon, mark) => {
-                    configuration.voters.insert(daemon.clone(), without_address(*mark));
+                Command::Admit(daemon, disk_id) => {
+                    configuration.voters.insert(daemon.clone(), without_address(*disk_id));
                 }
                 Command::Expel(daemon) => {
                     configuration.voters.remove(daemon);
