--- a/crates/placement/src/hard_files.rs
+++ b/crates/placement/src/hard_files.rs
@@ -1,9 +1,9 @@
-//! The files of the hard state: each holds all of it, under a version of its
-//! own, and the newest counts.
+//! The files of the hard state. Each file holds the whole state and has a version of
+//! its own; the newest file counts.
 //!
-//! One save is under way at a time; of those that wait behind it only the
-//! newest is kept, as it holds all that the others do. An older file is
-//! removed after a newer one was saved, never before.
+//! One save runs at a time. Of the states that wait behind it only the newest is kept,
+//! as it contains everything that the others do. An older file is removed after a newer
+//! one was saved, never before.
 use crate::prelude::*;
 
 const PREFIX: &str = "hard-";
@@ -16,74 +16,79 @@
     u64::from_str_radix(name.strip_prefix(PREFIX)?, 16).ok()
 }
 
-/// What a folder holds at the start.
+/// What a data folder holds at startup.
 pub enum StoredState {
     /// No file of the hard state.
     Missing,
-    /// The newest file is whole.
+    /// The newest file is intact.
     Readable(Box<HardState<Order>>),
-    /// The newest file can't be read: what was promised in it is lost.
+    /// The newest file can't be read: the votes and the log entries that it confirmed
+    /// are lost.
     Unreadable,
 }
 
-/// A save that waits for the one under way.
-struct Waiting {
-    save: u64,
+/// A save that waits for the running one to end.
+struct WaitingSave {
+    save_id: u64,
     state: HardState<Order>,
 }
 
-/// Which versions there are, and which save is under way.
+/// The files that there are, and the save that is running.
 #[derive(Default)]
 pub struct HardStateFiles {
-    newest: u64,
-    /// Older files, to be removed behind the next save.
-    outdated: Vec<String>,
-    under_way: Option<u64>,
-    waiting: Option<Waiting>,
+    newest_version: u64,
+    /// Files to be removed after the next save.
+    outdated_files: Vec<String>,
+    running_save: Option<u64>,
+    waiting_save: Option<WaitingSave>,
 }
 
 impl HardStateFiles {
-    /// Reads a folder back. A file is renamed to its name only after its
-    /// bytes were synced, so one that can't be read was altered by the disk;
-    /// an older one that can't be read tells nothing, as the newest holds all.
+    /// Reads the files of a data folder. A file gets its name only after its bytes
+    /// were synced, so one that can't be read was altered by the disk. An older file
+    /// that can't be read doesn't matter, as the newest holds everything.
     pub fn read(files: &[(String, Bytes)]) -> (HardStateFiles, StoredState) {
-        let mut all: Vec<(u64, &Bytes)> = files.iter().filter_map(|(name, bytes)| Some((version_of(name)?, bytes))).collect();
-        all.sort_by_key(|f| f.0);
-        let Some((newest, bytes)) = all.last().copied() else { return (HardStateFiles::default(), StoredState::Missing) };
+        let mut versions: Vec<(u64, &Bytes)> =
+            files.iter().filter_map(|(name, bytes)| Some((version_of(name)?, bytes))).collect();
+        versions.sort_by_key(|(version, _)| *version);
+        let Some((newest_version, bytes)) = versions.last().copied() else {
+            return (HardStateFiles::default(), StoredState::Missing);
+        };
         let found = match decode::<HardState<Order>>(bytes) {
             Ok(state) => StoredState::Readable(Box::new(state)),
             Err(_) => StoredState::Unreadable,
         };
-        // The newest stays until a newer one is saved, also if it can't be
-        // read: else an older one would count at the next start.
-        let outdated = all.iter().map(|f| file_name(f.0)).collect();
-        (HardStateFiles { newest, outdated, ..HardStateFiles::default() }, found)
+        // The newest file stays until a newer one is saved, even if it can't be read:
+        // otherwise an older one would count at the next start.
+        let outdated_files = versions.iter().map(|(version, _)| file_name(*version)).collect();
+        (HardStateFiles { newest_version, outdated_files, ..HardStateFiles::default() }, found)
     }
 
-    /// Asks for a save, now or behind the one under way.
-    pub fn save(&mut self, save: u64, state: HardState<Order>, out: &mut Vec<Effect>) {
-        if self.under_way.is_some() {
-            self.waiting = Some(Waiting { save, state });
+    /// Saves a state, now or after the running save. `save_id` comes back with
+    /// `Event::Saved`.
+    pub fn save(&mut self, save_id: u64, state: HardState<Order>, out: &mut Vec<Effect>) {
+        if self.running_save.is_some() {
+            self.waiting_save = Some(WaitingSave { save_id, state });
             return;
         }
-        self.begin(save, &state, out);
+        self.begin_save(save_id, &state, out);
     }
 
-    fn begin(&mut self, save: u64, state: &HardState<Order>, out: &mut Vec<Effect>) {
-        self.newest += 1;
-        self.under_way = Some(save);
-        let name = file_name(self.newest);
-        out.push(Effect::Save { n: save, name: name.clone(), bytes: Bytes::from(encode(state)) });
-        // These are done after the save, in order.
-        out.extend(self.outdated.drain(..).map(Effect::Remove));
-        self.outdated.push(name);
+    fn begin_save(&mut self, save_id: u64, state: &HardState<Order>, out: &mut Vec<Effect>) {
+        self.newest_version += 1;
+        self.running_save = Some(save_id);
+        let name = file_name(self.newest_version);
+        out.push(Effect::Save { n: save_id, name: name.clone(), bytes: Bytes::from(encode(state)) });
+        // The shell carries these out after the save, in this order.
+        out.extend(self.outdated_files.drain(..).map(Effect::Remove));
+        self.outdated_files.push(name);
     }
 
-    /// A save is synced; the next may begin.
+    /// The running save is synced; the waiting one begins.
     pub fn saved(&mut self, out: &mut Vec<Effect>) {
-        self.under_way = None;
-        if let Some(next) = self.waiting.take() {
-            self.begin(next.save, &next.state, out);
+        self.running_save = None;
+        if let Some(next) = self.waiting_save.take() {
+            self.begin_save(next.save_id, &next.state, out);
         }
     }
 }
--- a/crates/placement/src/operations.rs
+++ b/crates/placement/src/operations.rs
@@ -1,20 +1,20 @@
 //! The record of operators' orders that were carried out.
 use crate::prelude::*;
 
-/// All records together take no more bytes than this. They are part of the
-/// hard state, which is written whole with every save.
+/// The records take at most this many bytes together. They are part of the placement
+/// state, which is written as a whole with every save.
 pub const MAX_OPERATIONS_BYTES: usize = 256 << 10;
 
-/// The most bytes that a record takes without its operator's own id.
-const RECORD_BYTES: usize = 80;
+/// The most bytes that a record takes, without an id that its operator chose.
+const MAX_UNNAMED_RECORD_BYTES: usize = 80;
 
 /// One order that was carried out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Operation {
     #[serde(rename = "i")]
     pub id: OperationId,
-    /// What was asked, where `id` does not say it; unknown for an operation
-    /// recorded in the earlier form.
+    /// The digest of the request, where `id` doesn't contain it; `None` for an
+    /// operation recorded in the previous format.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<OrderDigest>,
     /// The version of the configuration that it made.
@@ -23,15 +23,15 @@
 }
 
 impl Operation {
-    /// At least the bytes that it takes when it is saved.
-    fn weight(&self) -> usize {
+    /// An upper bound of the bytes that it takes when it is saved.
+    fn max_saved_bytes(&self) -> usize {
         match &self.id {
-            OperationId::Named(name) => RECORD_BYTES + name.len(),
-            OperationId::Numbered(..) => RECORD_BYTES,
+            OperationId::Named(name) => MAX_UNNAMED_RECORD_BYTES + name.len(),
+            OperationId::Numbered(..) => MAX_UNNAMED_RECORD_BYTES,
         }
     }
 
-    /// Surely recorded for this very request.
+    /// Whether it is certain that this is the record of `request`.
     pub fn is_for(&self, request: Option<OrderDigest>) -> bool {
         self.request == request
     }
@@ -42,24 +42,25 @@
 pub enum OperationStatus {
     /// It was carried out and made this version.
     Done(Version),
-    /// It was surely not carried out.
+    /// It is certain that it was not carried out.
     NotDone,
     /// Its id was used for a different request.
     IdReused,
-    /// Its record may have been dropped.
+    /// Not certain: its record may have been dropped, or doesn't say which request it
+    /// is of.
     Unknown,
 }
 
-/// The latest operations, oldest first.
+/// The records of the latest operations, oldest first.
 ///
 /// Invariant: every numbered configuration carried out on a revision of at
 /// least `complete_since` is recorded.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Operations {
     records: VecDeque<Operation>,
-    /// The lowest base from which no record was dropped.
+    /// No record on this base or a later one was dropped.
     complete_since: u64,
-    /// An operation with an id of its operator's was dropped.
+    /// A record with an id that its operator chose was dropped.
     named_dropped: bool,
 }
 
@@ -87,12 +88,13 @@
         OperationStatus::Unknown
     }
 
+    /// Adds a record, and drops the oldest ones beyond `MAX_OPERATIONS_BYTES`.
     pub fn record(&mut self, operation: Operation) {
         self.records.push_back(operation);
-        let mut weight: usize = self.records.iter().map(Operation::weight).sum();
-        while weight > MAX_OPERATIONS_BYTES {
+        let mut bytes: usize = self.records.iter().map(Operation::max_saved_bytes).sum();
+        while bytes > MAX_OPERATIONS_BYTES {
             let Some(oldest) = self.records.pop_front() else { return };
-            weight -= oldest.weight();
+            bytes -= oldest.max_saved_bytes();
             match oldest.id {
                 OperationId::Numbered(base, _) => self.mark_incomplete_below(base.saturating_add(1)),
                 OperationId::Named(_) => self.named_dropped = true,
--- a/crates/placement/src/redundancy.rs
+++ b/crates/placement/src/redundancy.rs
@@ -1,14 +1,14 @@
-//! How many more losses are borne at a moment, beside what the deployment
-//! states should be.
+//! How many further failures the deployment tolerates at the moment, compared with how
+//! many its settings require.
 use crate::prelude::*;
 
-/// Machines that decide or keep something together: they go on while a
-/// majority of them is there.
+/// Machines that replicate something together: they can work while a majority of them
+/// is present.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuorumGroup {
-    /// All of them, those that are not there among them.
+    /// How many there are, present or not.
     pub size: usize,
-    /// The zone of each that is there.
+    /// The zone of each machine that is present.
     pub present: Vec<Zone>,
 }
 
@@ -17,25 +17,25 @@
         self.size / 2 + 1
     }
 
-    /// How many more machines may go.
+    /// How many more machines may fail.
     pub fn spare_machines(&self) -> usize {
         self.present.len().saturating_sub(self.majority())
     }
 
-    /// Whether a majority is left when any `count` zones go.
+    /// Whether a majority is left when any `count` zones fail.
     pub fn survives_zone_losses(&self, count: usize) -> bool {
-        let mut seats: BTreeMap<&Zone, usize> = BTreeMap::new();
+        let mut per_zone: BTreeMap<&Zone, usize> = BTreeMap::new();
         for zone in &self.present {
-            *seats.entry(zone).or_default() += 1;
+            *per_zone.entry(zone).or_default() += 1;
         }
-        let mut seats: Vec<usize> = seats.into_values().collect();
-        seats.sort_unstable();
-        seats.iter().rev().skip(count).sum::<usize>() >= self.majority()
+        let mut sizes: Vec<usize> = per_zone.into_values().collect();
+        sizes.sort_unstable();
+        sizes.iter().rev().skip(count).sum::<usize>() >= self.majority()
     }
 
-    /// Whether the stated losses are borne.
-    pub fn tolerates(&self, stated: &Tolerance) -> bool {
-        self.spare_machines() >= stated.machines && self.survives_zone_losses(stated.zones)
+    /// Whether the required failures are tolerated.
+    pub fn tolerates(&self, required: &Tolerance) -> bool {
+        self.spare_machines() >= required.machines && self.survives_zone_losses(required.zones)
     }
 }
 
@@ -44,34 +44,34 @@
 pub struct Redundancy {
     pub voters: QuorumGroup,
     pub weakest_write_set: Option<QuorumGroup>,
-    /// Write sets that do not bear the stated losses.
+    /// How many write sets don't tolerate the required failures.
     pub weak_write_sets: usize,
 }
 
 impl Redundancy {
-    pub fn new(voters: QuorumGroup, sets: Vec<QuorumGroup>, stated: &Tolerance) -> Redundancy {
-        let weak_sets = sets.iter().filter(|set| !set.tolerates(stated)).count();
-        let weakest_set = sets.into_iter().min_by_key(|set| (set.tolerates(stated), set.spare_machines()));
+    pub fn new(voters: QuorumGroup, sets: Vec<QuorumGroup>, required: &Tolerance) -> Redundancy {
+        let weak_sets = sets.iter().filter(|set| !set.tolerates(required)).count();
+        let weakest_set = sets.into_iter().min_by_key(|set| (set.tolerates(required), set.spare_machines()));
         Redundancy { voters, weakest_write_set: weakest_set, weak_write_sets: weak_sets }
     }
 
-    /// What falls short of the stated losses, in words; empty if nothing does.
-    pub fn shortfall(&self, stated: &Tolerance) -> Vec<String> {
-        let words = |name: &str, group: &QuorumGroup| {
-            let zones = if group.survives_zone_losses(stated.zones) { "bear" } else { "do not bear" };
-            let (machines, wanted) = (group.spare_machines(), stated.machines);
-            format!("{name} bear {machines} of {wanted} machines and {zones} {} zones", stated.zones)
+    /// A text for each requirement that is not met; empty if all are.
+    pub fn shortfall(&self, required: &Tolerance) -> Vec<String> {
+        let describe = |name: &str, group: &QuorumGroup| {
+            let zones = if group.survives_zone_losses(required.zones) { "bear" } else { "do not bear" };
+            let (machines, wanted) = (group.spare_machines(), required.machines);
+            format!("{name} bear {machines} of {wanted} machines and {zones} {} zones", required.zones)
         };
-        let mut short = Vec::new();
-        if !self.voters.tolerates(stated) {
-            short.push(words("voters", &self.voters));
+        let mut shortfalls = Vec::new();
+        if !self.voters.tolerates(required) {
+            shortfalls.push(describe("voters", &self.voters));
         }
         if let Some(set) = self.weakest_write_set.as_ref().filter(|_| self.weak_write_sets > 0) {
-            short.push(words(&format!("{} write sets", self.weak_write_sets), set));
+            shortfalls.push(describe(&format!("{} write sets", self.weak_write_sets), set));
         }
-        if stated.regions > 0 {
-            short.push(format!("the loss of {} regions is not planned for: only zones are known", stated.regions));
+        if required.regions > 0 {
+            shortfalls.push(format!("the loss of {} regions is not planned for: only zones are known", required.regions));
         }
-        short
+        shortfalls
     }
 }
