--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Three placement cores and the stores and deliveries around them, driven by
-//! steps alone: words arrive at once, saves end at once, no clock is read.
+//! Three placement daemons without I/O, and simulated stores and deliveries around
+//! them. Time advances in fixed steps: messages arrive and saves end at once, and no
+//! clock is read.
 #![allow(dead_code, unused_imports)]
 mod stores;
 use dw_election::prelude::Command;
@@ -9,62 +10,71 @@
 pub const TARGET_SHARDS_PER_ZONE: usize = dw_types::id::TARGET_SHARDS_PER_ZONE as usize;
 use std::collections::VecDeque;
 
-/// Between two steps of time.
-const STEP: Span = Span::millis(50);
-/// Between two pulls.
-const PULL: Span = Span::millis(400);
+/// How far the time advances between two ticks.
+const TICK_INTERVAL: Span = Span::millis(50);
+/// Between two pulls of a daemon.
+const PULL_INTERVAL: Span = Span::millis(400);
 
-/// A store or a delivery: holds what it is granted while it is renewed.
-pub struct Fake {
-    pub me: Member,
+/// A simulated store or delivery: it holds what it is granted until the grant is no
+/// longer renewed.
+pub struct FakeDaemon {
+    pub member: Member,
+    /// The epoch and the end of each grant that it holds.
     pub held: BTreeMap<Duty, (Epoch, Time)>,
-    /// Grants read back from its folder, told until it is granted something.
+    /// Grants read from its data folder; it claims them until it is granted something.
     pub checkpoint: BTreeMap<Duty, Epoch>,
-    pub shed: BTreeSet<Duty>,
-    pub gave: Vec<(Duty, Epoch)>,
-    /// Attempts are in hand: nothing is given up.
+    /// Duties that the primary asks it to give up.
+    pub requested_back: BTreeSet<Duty>,
+    /// Grants that it gave up.
+    pub released: Vec<(Duty, Epoch)>,
+    /// It has attempts in flight and gives nothing up.
     pub busy: bool,
-    pub unheard: Vec<Duty>,
-    /// Replacements it was told of as leader: who leaves, who joins, and the
-    /// number that its report names.
-    pub swaps: BTreeMap<PartitionId, (Daemon, Daemon, Version)>,
-    /// It was told to stop and gives up what it holds.
+    /// Duties whose holders it can't reach.
+    pub unreachable_holders: Vec<Duty>,
+    /// The replacement of a store in each partition that it leads, as the primary sent
+    /// it: the store that leaves, the store that joins, and the replacement's number.
+    pub replacements: BTreeMap<PartitionId, (Daemon, Daemon, Version)>,
+    /// It is shutting down and gives up what it holds.
     pub stopping: bool,
-    /// What placement last said of waiting for its seats.
+    /// Whether placement last told it to wait until its seats have moved.
     pub told_to_wait: Option<bool>,
-    /// Joiners are whole as soon as they are named.
-    pub copies: bool,
-    heard: (Term, Time),
-    have: VersionVector,
-    due: Time,
-    pub news: Vec<Update>,
+    /// As leader it reports a joining store's copy as complete at once; else never.
+    pub copies_at_once: bool,
+    last_answered: (Term, Time),
+    held_versions: VersionVector,
+    next_pull_at: Time,
+    pub updates: Vec<Update>,
 }
 
 pub struct Fleet {
     pub now: Time,
     pub cores: BTreeMap<Daemon, Placement>,
     disks: BTreeMap<Daemon, BTreeMap<String, Bytes>>,
-    /// Disks that take no writes, and what waits for each.
-    stuck: BTreeMap<Daemon, Vec<Effect>>,
-    pub fakes: BTreeMap<Daemon, Fake>,
-    /// Cores that hear nothing and are heard by nobody.
-    pub cut: BTreeSet<Daemon>,
+    /// Disks that take no writes, and the saves and removals that wait for each.
+    blocked_disks: BTreeMap<Daemon, Vec<Effect>>,
+    pub fakes: BTreeMap<Daemon, FakeDaemon>,
+    /// Placement daemons that can neither send nor receive.
+    pub isolated: BTreeSet<Daemon>,
     queue: VecDeque<(Daemon, Event)>,
-    /// A core whose frames are counted, and the bytes of those sent to it.
+    /// A placement daemon, and the bytes of the messages sent to it since it was set.
     pub metered: Option<(Daemon, usize)>,
-    pub told: BTreeMap<u64, ApiResponse>,
+    /// The answers to operators' requests, by request number.
+    pub answers: BTreeMap<u64, ApiResponse>,
+    /// The HTTP calls that placement daemons made.
     pub calls: Vec<(Time, Daemon, CallId, Call)>,
+    /// Address and path of the platform's worker list; empty for none.
     pub platform: String,
+    /// The rate limit of that list, in calls a second.
     pub rate: f64,
     pub tolerates: Tolerance,
-    next: u64,
+    next_request: u64,
 }
 
 pub fn daemon(name: &str) -> Daemon {
     Daemon(name.to_string())
 }
 
-/// The mark of a daemon's data folder.
+/// The id of a daemon's data folder.
 pub fn disk_of(name: &str) -> IncarnationId {
     IncarnationId(hash_of(name.as_bytes()))
 }
@@ -82,53 +92,54 @@
 }
 
 impl Fleet {
-    /// Three placement cores, founded, and nothing else.
+    /// Three placement daemons that found their group, and nothing else.
     pub fn new() -> Fleet {
-        Fleet::listing("", 0.0)
+        Fleet::with_worker_list("", 0.0)
     }
-    pub fn listing(platform: &str, rate: f64) -> Fleet {
-        Fleet::founded(platform, rate, Tolerance::default())
+    pub fn with_worker_list(platform: &str, rate: f64) -> Fleet {
+        Fleet::with_settings(platform, rate, Tolerance::default())
     }
-    pub fn founded(platform: &str, rate: f64, tolerates: Tolerance) -> Fleet {
+    pub fn with_settings(platform: &str, rate: f64, tolerates: Tolerance) -> Fleet {
         let mut f = Fleet {
             now: Time(1_000_000),
             cores: BTreeMap::new(),
             disks: BTreeMap::new(),
-            stuck: BTreeMap::new(),
+            blocked_disks: BTreeMap::new(),
             fakes: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             queue: VecDeque::new(),
             metered: None,
-            told: BTreeMap::new(),
+            answers: BTreeMap::new(),
             calls: Vec::new(),
             platform: platform.to_string(),
             rate,
             tolerates,
-            next: 1,
+            next_request: 1,
         };
         for n in 1..=3 {
             f.start(&daemon(&format!("placement-{n}")), true);
         }
         f
     }
-    /// A fleet of three zones with a store and a delivery in each, served by
-    /// a primary.
-    pub fn whole() -> Fleet {
+    /// Three zones with a store and a delivery in each, and a primary that is serving.
+    pub fn serving() -> Fleet {
         let mut f = Fleet::new();
-        f.stores(3);
+        f.add_stores(3);
         for n in 1..=3 {
             f.add(&format!("delivery-{n}"), &format!("z{n}"));
         }
-        f.until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
+        f.run_until(8_000, |f| f.primary().is_some_and(|d| f.cores[&d].office == PrimaryPhase::Serving));
         f.run(4_000);
         f
     }
-    pub fn stores(&mut self, count: usize) {
+    pub fn add_stores(&mut self, count: usize) {
         for n in 1..=count {
             self.add(&format!("store-{n}"), &format!("z{}", (n - 1) % 3 + 1));
         }
     }
-    pub fn start(&mut self, id: &Daemon, found: bool) {
+    /// Starts a placement daemon on the files in its data folder; `bootstrap` lets it
+    /// found the group if there are none.
+    pub fn start(&mut self, id: &Daemon, bootstrap: bool) {
         let names = (1..=3).map(|n| daemon(&format!("placement-{n}")));
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
@@ -146,10 +157,10 @@
             seed: hash_of(id.as_str().as_bytes()),
         };
         let files = self.disks.entry(id.clone()).or_default().iter().map(|(n, b)| (n.clone(), b.clone())).collect();
-        let mark = IncarnationId(hash_of(format!("disk {id}").as_bytes()));
-        let (core, out) = Placement::new(startup, files, mark, found, self.now);
+        let disk_id = IncarnationId(hash_of(format!("disk {id}").as_bytes()));
+        let (core, out) = Placement::new(startup, files, disk_id, bootstrap, self.now);
         self.cores.insert(id.clone(), core);
-        self.obey(id, out);
+        self.perform(id, out);
     }
     /// The files that a daemon would find at its next start.
     pub fn files(&self, id: &Daemon) -> Vec<(String, Bytes)> {
@@ -162,68 +173,70 @@
         self.start(id, false);
     }
     /// From now on a daemon's disk takes no writes.
-    pub fn stick(&mut self, id: &Daemon) {
-        self.stuck.insert(id.clone(), Vec::new());
+    pub fn block_disk(&mut self, id: &Daemon) {
+        self.blocked_disks.insert(id.clone(), Vec::new());
         self.step(id, Event::DiskStuck(true));
     }
-    /// The disk works again and does what waits.
-    pub fn free(&mut self, id: &Daemon) {
-        let waiting = self.stuck.remove(id).unwrap();
-        self.obey(id, waiting);
+    /// The disk works again and carries out what waits.
+    pub fn unblock_disk(&mut self, id: &Daemon) {
+        let waiting = self.blocked_disks.remove(id).unwrap();
+        self.perform(id, waiting);
         self.step(id, Event::DiskStuck(false));
     }
     pub fn waiting_saves(&self, id: &Daemon) -> usize {
-        self.stuck[id].iter().filter(|e| matches!(e, Effect::Save { .. })).count()
+        self.blocked_disks[id].iter().filter(|e| matches!(e, Effect::Save { .. })).count()
     }
     pub fn add(&mut self, name: &str, zone: &str) {
-        let due = self.now + Span(hash_of(name.as_bytes()) % PULL.0);
-        let one = Fake {
-            me: member(name, zone),
+        let next_pull_at = self.now + Span(hash_of(name.as_bytes()) % PULL_INTERVAL.0);
+        let fake = FakeDaemon {
+            member: member(name, zone),
             held: BTreeMap::new(),
             checkpoint: BTreeMap::new(),
-            shed: BTreeSet::new(),
-            gave: Vec::new(),
+            requested_back: BTreeSet::new(),
+            released: Vec::new(),
             busy: false,
-            unheard: Vec::new(),
-            swaps: BTreeMap::new(),
+            unreachable_holders: Vec::new(),
+            replacements: BTreeMap::new(),
             stopping: false,
             told_to_wait: None,
-            copies: true,
-            heard: (Term(0), Time(0)),
-            have: VersionVector::default(),
-            due,
-            news: Vec::new(),
+            copies_at_once: true,
+            last_answered: (Term(0), Time(0)),
+            held_versions: VersionVector::default(),
+            next_pull_at,
+            updates: Vec::new(),
         };
-        self.fakes.insert(daemon(name), one);
+        self.fakes.insert(daemon(name), fake);
     }
+    /// The placement daemon that acts as primary, if any.
     pub fn primary(&self) -> Option<Daemon> {
-        let acts = |d: &&Daemon| !self.cut.contains(*d) && self.cores[*d].election.is_active_leader(self.now);
-        self.cores.keys().find(acts).cloned()
+        let is_active = |d: &&Daemon| !self.isolated.contains(*d) && self.cores[*d].election.is_active_leader(self.now);
+        self.cores.keys().find(is_active).cloned()
     }
     pub fn standby(&self) -> Daemon {
         let primary = self.primary();
         self.cores.keys().find(|d| Some(*d) != primary.as_ref()).cloned().unwrap()
     }
-    fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
+    /// Carries out the effects of a placement daemon's step.
+    fn perform(&mut self, id: &Daemon, out: Vec<Effect>) {
         for e in out {
             match e {
-                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
+                Effect::Send(to, _) if self.isolated.contains(id) || self.isolated.contains(&to) => {}
                 Effect::Send(to, msg) if self.cores.contains_key(&to) => {
                     if let Some((_, bytes)) = self.metered.as_mut().filter(|metered| metered.0 == to) {
                         *bytes += encode(&msg).len();
                     }
                     self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message: msg }));
                 }
-                Effect::Send(to, PeerMessage::PullResponse { requested_at: asked, term, updates: items, grants, .. }) => {
-                    self.news(&to, asked, term, items, grants)
+                Effect::Send(to, PeerMessage::PullResponse { requested_at, term, updates, grants, .. }) => {
+                    self.receive_updates(&to, requested_at, term, updates, grants)
                 }
                 Effect::Send(to, PeerMessage::Departure { wait, .. }) => {
                     if let Some(fake) = self.fakes.get_mut(&to) {
                         fake.told_to_wait = Some(wait);
                     }
                 }
-                Effect::Save { .. } | Effect::Remove(_) if self.stuck.contains_key(id) => {
-                    self.stuck.entry(id.clone()).or_default().push(e);
+                Effect::Save { .. } | Effect::Remove(_) if self.blocked_disks.contains_key(id) => {
+                    self.blocked_disks.entry(id.clone()).or_default().push(e);
                 }
                 Effect::Save { n, name, bytes } => {
                     self.disks.entry(id.clone()).or_default().insert(name, bytes);
@@ -232,107 +245,123 @@
                 Effect::Remove(name) => {
                     self.disks.entry(id.clone()).or_default().remove(&name);
                 }
-                Effect::Respond(ask, v) => {
-                    assert!(self.told.insert(ask.0, v).is_none(), "ask {} was answered twice", ask.0);
+                Effect::Respond(request, response) => {
+                    assert!(self.answers.insert(request.0, response).is_none(), "request {} was answered twice", request.0);
                 }
-                Effect::Call(call, what) => self.calls.push((self.now, id.clone(), call, what)),
+                Effect::Call(call_id, call) => self.calls.push((self.now, id.clone(), call_id, call)),
                 _ => {}
             }
         }
     }
-    fn news(&mut self, to: &Daemon, asked: Time, term: Term, items: Vec<(Version, Update)>, grants: Vec<Grant>) {
+    /// A simulated daemon receives the response to a pull.
+    fn receive_updates(
+        &mut self,
+        to: &Daemon,
+        requested_at: Time,
+        term: Term,
+        updates: Vec<(Version, Update)>,
+        grants: Vec<Grant>,
+    ) {
         let Some(f) = self.fakes.get_mut(to) else { return };
-        f.heard = (term, asked);
-        for (v, item) in items {
-            if f.have.advance(item.topic(), v) {
-                f.news.push(item);
+        f.last_answered = (term, requested_at);
+        for (version, update) in updates {
+            if f.held_versions.advance(update.topic(), version) {
+                f.updates.push(update);
             }
         }
-        let end = Terms::default().holder_end(asked);
-        f.shed = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
+        let end = Terms::default().holder_end(requested_at);
+        f.requested_back = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
         }
         for g in grants {
-            if let Duty::Lead(place) = &g.duty {
+            if let Duty::Lead(partition) = &g.duty {
                 match &g.replacement {
-                    Some((out, joiner)) => f.swaps.insert(place.clone(), (out.clone(), joiner.clone(), g.replacement_number)),
-                    None => f.swaps.remove(place),
+                    Some((leaving, joining)) => {
+                        f.replacements.insert(partition.clone(), (leaving.clone(), joining.clone(), g.replacement_number))
+                    }
+                    None => f.replacements.remove(partition),
                 };
             }
-            if !f.gave.contains(&(g.duty.clone(), g.epoch)) {
+            if !f.released.contains(&(g.duty.clone(), g.epoch)) {
                 f.held.insert(g.duty, (g.epoch, end));
             }
         }
         if f.busy {
             return;
         }
-        for duty in f.shed.clone() {
+        for duty in f.requested_back.clone() {
             if let Some((epoch, _)) = f.held.remove(&duty) {
-                f.gave.push((duty, epoch));
+                f.released.push((duty, epoch));
             }
         }
     }
+    /// A simulated daemon pulls from every placement daemon that it can reach, if it is
+    /// time.
     fn pull(&mut self, id: &Daemon) {
         let now = self.now;
-        let Some(f) = self.fakes.get_mut(id).filter(|f| now >= f.due) else { return };
-        f.due = now + PULL;
+        let Some(f) = self.fakes.get_mut(id).filter(|f| now >= f.next_pull_at) else { return };
+        f.next_pull_at = now + PULL_INTERVAL;
         f.held.retain(|_, x| now < x.1);
         if f.stopping {
-            f.gave.extend(std::mem::take(&mut f.held).into_iter().map(|(duty, held)| (duty, held.0)));
+            f.released.extend(std::mem::take(&mut f.held).into_iter().map(|(duty, held)| (duty, held.0)));
         }
-        let memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, from_checkpoint: false });
-        let folder = f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, from_checkpoint: true });
-        let claims = memory.chain(folder).collect();
-        let kept: BTreeSet<&PartitionId> =
+        let from_memory = f.held.iter().map(|(d, x)| Claim { duty: d.clone(), epoch: x.0, from_checkpoint: false });
+        let from_checkpoint =
+            f.checkpoint.iter().map(|(d, epoch)| Claim { duty: d.clone(), epoch: *epoch, from_checkpoint: true });
+        let claims = from_memory.chain(from_checkpoint).collect();
+        let led: BTreeSet<&PartitionId> =
             f.held.keys().filter_map(|d| if let Duty::Lead(p) = d { Some(p) } else { None }).collect();
-        f.swaps.retain(|place, _| kept.contains(place));
-        let swaps = f.swaps.iter().map(|(place, s)| (place.clone(), s.2)).collect();
-        let copied = f.swaps.iter().filter(|_| f.copies);
-        let whole = copied.map(|(place, s)| (place.clone(), s.1.clone(), disk_of(s.1.as_str()))).collect();
+        f.replacements.retain(|partition, _| led.contains(partition));
+        let replacement_numbers = f.replacements.iter().map(|(partition, r)| (partition.clone(), r.2)).collect();
+        let copied = f.replacements.iter().filter(|_| f.copies_at_once);
+        let complete_copies = copied.map(|(partition, r)| (partition.clone(), r.1.clone(), disk_of(r.1.as_str()))).collect();
         let report = Report {
             claims,
-            released: f.gave.clone(),
-            unreachable_holders: f.unheard.clone(),
-            complete_copies: whole,
-            replacement_numbers: swaps,
+            released: f.released.clone(),
+            unreachable_holders: f.unreachable_holders.clone(),
+            complete_copies,
+            replacement_numbers,
             leaving: f.stopping,
             stopping: f.stopping,
             ..Report::default()
         };
-        let need = |f: &Fake| PeerMessage::Pull {
+        let pull = |f: &FakeDaemon| PeerMessage::Pull {
             requested_at: now,
-            last_answered: f.heard,
-            held_versions: f.have.clone(),
-            member: f.me.clone(),
+            last_answered: f.last_answered,
+            held_versions: f.held_versions.clone(),
+            member: f.member.clone(),
             report: Some(report.clone()),
             reads_compressed: false,
         };
-        let msg = need(f);
-        for core in self.cores.keys().filter(|d| !self.cut.contains(*d)) {
-            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), message: msg.clone() }));
+        let message = pull(f);
+        for core in self.cores.keys().filter(|d| !self.isolated.contains(*d)) {
+            self.queue.push_back((core.clone(), Event::MessageReceived { from: id.clone(), message: message.clone() }));
         }
     }
+    /// Delivers an event to a placement daemon, and everything that follows from it.
     pub fn step(&mut self, id: &Daemon, event: Event) {
         self.queue.push_back((id.clone(), event));
         self.drain();
     }
-    /// One event without what follows from it.
+    /// Delivers one event; the messages and saves that follow from it stay queued.
     pub fn step_alone(&mut self, id: &Daemon, event: Event) {
         let now = self.now;
         let Some(core) = self.cores.get_mut(id) else { return };
         let out = core.step(event, now);
-        self.obey(id, out);
+        self.perform(id, out);
     }
+    /// Delivers all queued events.
     pub fn drain(&mut self) {
         while let Some((id, event)) = self.queue.pop_front() {
             self.step_alone(&id, event);
         }
     }
+    /// Lets `ms` milliseconds pass.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + Span::millis(ms);
         while self.now < end {
-            self.now += STEP;
+            self.now += TICK_INTERVAL;
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
                 self.step(&id, Event::Tick);
             }
@@ -342,38 +371,39 @@
             }
         }
     }
-    /// Runs until it is so; panics when it takes longer than `ms`. Returns
+    /// Lets time pass until `condition` holds; panics after `ms` milliseconds. Returns
     /// how long it took.
-    pub fn until(&mut self, ms: u64, so: impl Fn(&Fleet) -> bool) -> u64 {
-        let begun = self.now;
-        while !so(self) {
-            assert!(self.now.since(begun) < Span::millis(ms), "not so after {ms} ms");
+    pub fn run_until(&mut self, ms: u64, condition: impl Fn(&Fleet) -> bool) -> u64 {
+        let start = self.now;
+        while !condition(self) {
+            assert!(self.now.since(start) < Span::millis(ms), "the condition does not hold after {ms} ms");
             self.run(50);
         }
-        self.now.since(begun).as_millis()
-    }
-    /// Hands an order to a daemon; its number, under which it is answered.
-    pub fn send(&mut self, to: &Daemon, ask: ApiRequest) -> u64 {
-        let n = self.next;
-        self.next += 1;
-        self.step(to, Event::Request(RequestId(n), ask));
+        self.now.since(start).as_millis()
+    }
+    /// Sends an operator's request to a placement daemon; returns the number under which
+    /// `answers` will hold the answer.
+    pub fn send_request(&mut self, to: &Daemon, request: ApiRequest) -> u64 {
+        let n = self.next_request;
+        self.next_request += 1;
+        self.step(to, Event::Request(RequestId(n), request));
         n
     }
-    /// Asks the primary and waits for its verdict.
-    pub fn ask(&mut self, ask: ApiRequest) -> ApiResponse {
+    /// Sends a request to the primary and waits for the answer.
+    pub fn request(&mut self, request: ApiRequest) -> ApiResponse {
         let to = self.primary().expect("a primary");
-        let n = self.send(&to, ask);
+        let n = self.send_request(&to, request);
         self.run(300);
-        self.told.get(&n).cloned().expect("a verdict")
+        self.answers.get(&n).cloned().expect("an answer")
     }
-    pub fn put(&mut self, base: u64, json: &Value) -> ApiResponse {
-        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: false })
+    pub fn put_config(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.request(ApiRequest::Revise { base, json: json.to_string(), is_patch: false })
     }
-    pub fn patch(&mut self, base: u64, json: &Value) -> ApiResponse {
-        self.ask(ApiRequest::Revise { base, json: json.to_string(), is_patch: true })
+    pub fn patch_config(&mut self, base: u64, json: &Value) -> ApiResponse {
+        self.request(ApiRequest::Revise { base, json: json.to_string(), is_patch: true })
     }
-    /// Who holds each duty of reach, by their own word.
-    pub fn reaches(&self) -> BTreeMap<Duty, Daemon> {
+    /// The holder of each target shard, as the holders see it.
+    pub fn target_shard_holders(&self) -> BTreeMap<Duty, Daemon> {
         let mut out = BTreeMap::new();
         for (id, f) in &self.fakes {
             for (duty, x) in f.held.iter().filter(|(d, _)| matches!(d, Duty::TargetShard(_))) {
@@ -385,25 +415,26 @@
         }
         out
     }
-    pub fn holders(&self, zone: &str) -> Vec<Daemon> {
-        let all = self.reaches();
+    /// The holders of the worker shards of a zone, in the order of the shards.
+    pub fn worker_shard_holders(&self, zone: &str) -> Vec<Daemon> {
+        let all = self.target_shard_holders();
         Duty::worker_shards_in(&Zone(zone.into())).filter_map(|d| all.get(&d).cloned()).collect()
     }
-    /// Loses a placement core with its memory; its folder stays.
+    /// Ends a placement daemon; its data folder stays.
     pub fn kill(&mut self, id: &Daemon) {
         self.cores.remove(id);
     }
-    /// Bytes in each placement daemon's folder.
-    pub fn folders(&self) -> Vec<(Daemon, usize)> {
+    /// The bytes in each placement daemon's data folder.
+    pub fn folder_sizes(&self) -> Vec<(Daemon, usize)> {
         self.disks.iter().map(|(d, files)| (d.clone(), files.values().map(Bytes::len).sum())).collect()
     }
-    /// Configurations that stand in the log of the primary, done or not.
-    pub fn configs_logged(&self) -> usize {
+    /// How many configurations are in the log of the primary, committed or not.
+    pub fn configs_in_log(&self) -> usize {
         let files = &self.disks[&self.primary().expect("a primary")];
         let stored: HardState<Order> = decode(files.values().last().expect("a file")).expect("readable");
         stored.log.iter().filter(|e| matches!(&e.command, Command::Apply(Order::Config { .. }))).count()
     }
-    pub fn committed(&self) -> u64 {
+    pub fn highest_commit_index(&self) -> u64 {
         self.cores.values().map(|c| c.election.commit_index()).max().unwrap_or(0)
     }
 }
@@ -417,10 +448,11 @@
     json!({"revision": revision, "routes": routes, "services": [{"name": "huvo11a", "slots": 6, "doc": "{}"}], "doc": "as sent"})
 }
 
-pub fn first() -> Value {
+/// The first configuration that most tests apply; its revision is 7.
+pub fn first_config() -> Value {
     config(7, &[route("r-vk9m68k", "/vobo680/"), route("r-7b2ex5w", "/noda141/")])
 }
 
-pub fn said(v: &ApiResponse) -> Value {
+pub fn json_of(v: &ApiResponse) -> Value {
     serde_json::from_str(&v.json).unwrap()
 }
--- a/crates/placement/tests/fleet/stores.rs
+++ b/crates/placement/tests/fleet/stores.rs
@@ -1,34 +1,35 @@
-//! What tests of stores and their seats in write sets ask of a fleet.
+//! What tests of write sets ask of a fleet. A seat is a store's place in the write set
+//! of one partition.
 use super::*;
 
-/// A fleet with so many stores in three zones, and a configuration in force.
-pub fn spooled(stores: usize) -> Fleet {
-    let mut f = Fleet::whole();
+/// A fleet with this many stores in three zones, and a configuration in force.
+pub fn serving_with_stores(stores: usize) -> Fleet {
+    let mut f = Fleet::serving();
     for n in 4..=stores {
         f.add(&format!("store-{n}"), &format!("z{}", (n - 1) % 3 + 1));
     }
     f.run(2_000);
-    assert_eq!(f.put(0, &first()).code, 200);
+    assert_eq!(f.put_config(0, &first_config()).code, 200);
     f.run(6_000);
     f
 }
 
-/// The committed state, as the primary has it.
-pub fn hard(f: &Fleet) -> &PlacementState {
+/// The applied state of the primary.
+pub fn state(f: &Fleet) -> &PlacementState {
     &f.cores[&f.primary().expect("a primary")].hard
 }
 
-/// In how many write sets a store has a seat.
-pub fn seats(f: &Fleet, store: &str) -> usize {
-    hard(f).layout.values().filter(|set| set.iter().any(|s| s.0 == daemon(store))).count()
+/// How many seats a store has.
+pub fn seat_count(f: &Fleet, store: &str) -> usize {
+    state(f).layout.values().filter(|set| set.iter().any(|s| s.0 == daemon(store))).count()
 }
 
-/// How many replacements of seats the leaders know of.
-pub fn swaps(f: &Fleet) -> usize {
-    f.fakes.values().map(|x| x.swaps.len()).sum()
+/// How many replacements of stores the leaders of partitions know of.
+pub fn replacement_count(f: &Fleet) -> usize {
+    f.fakes.values().map(|x| x.replacements.len()).sum()
 }
 
-/// Whether joiners are whole as soon as they are named.
-pub fn copying(f: &mut Fleet, on: bool) {
-    f.fakes.values_mut().for_each(|x| x.copies = on);
+/// Whether the copies of joining stores are reported as complete at once, or never.
+pub fn set_copying(f: &mut Fleet, complete_at_once: bool) {
+    f.fakes.values_mut().for_each(|x| x.copies_at_once = complete_at_once);
 }
--- a/crates/placement/tests/operations.rs
+++ b/crates/placement/tests/operations.rs
@@ -1,18 +1,18 @@
-//! The records of operators' orders, as they are kept and read back.
+//! The records of operators' orders: how they are saved, read and dropped.
 use dw_placement::operations::MAX_OPERATIONS_BYTES;
 use dw_placement::prelude::*;
 
-/// The hard state of the earlier form: configuration 9, made by an order that
-/// was numbered and one that was named, and an emptied zone.
-const EARLIER_STATE: &str = "aa676368617274657278187b227265766973696f6e223a392c22646f63223a2278227d6f\
+/// A saved state in the previous format: the configuration with revision 9, the records
+/// of a numbered and a named order, and an emptied zone.
+const PREVIOUS_FORMAT_STATE: &str = "aa676368617274657278187b227265766973696f6e223a392c22646f63223a2278227d6f\
     636861727465725f76657273696f6ea2647465726d0265636f756e7405636f707382837472303e7730313233343536373839\
     6162636465661ae14ac909a2647465726d0165636f756e7403836762792d68616e641a087b1a17a2647465726d0265636f75\
     6e7405676d656d62657273a06f6d656d626572735f76657273696f6ea2647465726d0065636f756e7400666c61796f7574a0\
     65656d70747981627a3167647261696e6564806e6f72646572735f76657273696f6ea2647465726d0265636f756e74066872\
     65746972696e67a0";
 
-/// A log entry of the earlier form: a numbered configuration on base 0.
-const EARLIER_ORDER: &str = "a16743686172746572a3626f707472303e77303132333435363738396162636465666462617365\
+/// A log entry in the previous format: a numbered configuration on base 0.
+const PREVIOUS_FORMAT_ORDER: &str = "a16743686172746572a3626f707472303e77303132333435363738396162636465666462617365\
     a2647465726d0065636f756e7400646a736f6e78187b227265766973696f6e223a372c22646f63223a2278227d";
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn kind_base_and_words_each_make_another_order() {
+fn orders_differ_by_kind_base_and_text() {
     let one = OperationId::numbered(OrderKind::Whole, 7, "words");
     assert_eq!(one, OperationId::numbered(OrderKind::Whole, 7, "words"));
     assert_ne!(one, OperationId::numbered(OrderKind::Patch, 7, "words"));
@@ -47,7 +47,7 @@
 
 #[test]
 fn the_digest_is_sha_256() {
-    // Of a 'w', eight bytes of a 7, and "abc".
+    // The input is 'w' for a whole configuration, the base 7 in eight bytes, and "abc".
     let digest = OrderDigest::of(OrderKind::Whole, 7, "abc").to_string();
     assert_eq!(digest, "6d31ace3b0b05e9b9d0e60ad6b85b8cafbf140641ff997d46b979c462462b5fb");
 }
@@ -66,7 +66,7 @@
     let count = 10_000;
     let operations = recorded(count);
     let kept = operations.len() as u64;
-    assert!(kept >= 3_000 && kept < count, "{kept} are kept");
+    assert!(kept >= 3_000 && kept < count, "{kept} records are kept");
     let oldest = count - kept;
     for base in [0, oldest - 1] {
         assert_eq!(operations.status(&numbered(base), None), OperationStatus::Unknown, "base {base}");
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_named_order_is_told_from_another_of_the_same_name() {
+fn a_named_order_is_distinguished_from_another_of_the_same_name() {
     let mut operations = Operations::default();
     let id = OperationId::Named("op-1".into());
     let [one, two] = ["one", "two"].map(|words| Some(OrderDigest::of(OrderKind::Patch, 0, words)));
@@ -106,25 +106,25 @@
 }
 
 #[test]
-fn a_state_of_the_earlier_form_is_read_and_proves_nothing_of_its_orders() {
-    let hard = PlacementState::read(&bytes(EARLIER_STATE)).expect("readable");
-    assert_eq!((hard.config.as_str(), hard.config_version), ("{\"revision\":9,\"doc\":\"x\"}", version(2, 5)));
-    assert!(hard.empty_zones.contains(&Zone("z1".into())));
+fn a_state_in_the_previous_format_is_read_and_proves_nothing_of_its_orders() {
+    let state = PlacementState::read(&bytes(PREVIOUS_FORMAT_STATE)).expect("readable");
+    assert_eq!((state.config.as_str(), state.config_version), ("{\"revision\":9,\"doc\":\"x\"}", version(2, 5)));
+    assert!(state.empty_zones.contains(&Zone("z1".into())));
     for base in [0, 7, 8] {
-        assert_eq!(hard.operations.status(&numbered(base), None), OperationStatus::Unknown, "base {base}");
+        assert_eq!(state.operations.status(&numbered(base), None), OperationStatus::Unknown, "base {base}");
     }
-    assert_eq!(hard.operations.status(&numbered(9), None), OperationStatus::NotDone);
+    assert_eq!(state.operations.status(&numbered(9), None), OperationStatus::NotDone);
     let named = OperationId::Named("by-hand".into());
     let request = Some(OrderDigest::of(OrderKind::Whole, 0, "words"));
-    assert_eq!(hard.operations.status(&named, request), OperationStatus::Unknown);
-    assert_eq!(PlacementState::read(&encode(&hard)), Some(hard));
+    assert_eq!(state.operations.status(&named, request), OperationStatus::Unknown);
+    assert_eq!(PlacementState::read(&encode(&state)), Some(state));
 }
 
 #[test]
-fn a_log_entry_of_the_earlier_form_is_read_and_proves_nothing() {
-    let order: Order = decode(&bytes(EARLIER_ORDER)).expect("readable");
-    let mut hard = PlacementState::default();
-    assert_eq!(hard.apply(3, Term(1), &order), Applied::Done(version(1, 3)));
-    assert_eq!(hard.operations.status(&numbered(0), None), OperationStatus::Unknown);
-    assert_eq!(hard.operations.status(&numbered(7), None), OperationStatus::NotDone);
+fn a_log_entry_in_the_previous_format_is_read_and_proves_nothing() {
+    let order: Order = decode(&bytes(PREVIOUS_FORMAT_ORDER)).expect("readable");
+    let mut state = PlacementState::default();
+    assert_eq!(state.apply(3, Term(1), &order), Applied::Done(version(1, 3)));
+    assert_eq!(state.operations.status(&numbered(0), None), OperationStatus::Unknown);
+    assert_eq!(state.operations.status(&numbered(7), None), OperationStatus::NotDone);
 }
