--- a/crates/placement/src/hard_files.rs
+++ b/crates/placement/src/hard_files.rs
@@ -1,5 +1,6 @@
-//! The files of the hard state. Each file holds the whole state and has a version of
-//! its own; the newest file counts.
+//! The files of the hard state, which is everything that the replicated log has to keep
+//! over a restart: term, vote, snapshot and log entries. Each file holds the whole state
+//! and has a version of its own; the newest file counts.
 //!
 //! One save runs at a time. Of the states that wait behind it only the newest is kept,
 //! as it contains everything that the others do. An older file is removed after a newer
--- a/crates/placement/src/operations.rs
+++ b/crates/placement/src/operations.rs
@@ -13,8 +13,8 @@
 pub struct Operation {
     #[serde(rename = "i")]
     pub id: OperationId,
-    /// The digest of the request, where `id` doesn't contain it; `None` for an
-    /// operation recorded in the previous format.
+    /// The digest of the request. `None` where `id` contains it, and for operations
+    /// recorded in the previous format.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub request: Option<OrderDigest>,
     /// The version of the configuration that it made.
--- a/crates/placement/src/redundancy.rs
+++ b/crates/placement/src/redundancy.rs
@@ -50,9 +50,9 @@
 
 impl Redundancy {
     pub fn new(voters: QuorumGroup, sets: Vec<QuorumGroup>, required: &Tolerance) -> Redundancy {
-        let weak_sets = sets.iter().filter(|set| !set.tolerates(required)).count();
-        let weakest_set = sets.into_iter().min_by_key(|set| (set.tolerates(required), set.spare_machines()));
-        Redundancy { voters, weakest_write_set: weakest_set, weak_write_sets: weak_sets }
+        let weak_write_sets = sets.iter().filter(|set| !set.tolerates(required)).count();
+        let weakest_write_set = sets.into_iter().min_by_key(|set| (set.tolerates(required), set.spare_machines()));
+        Redundancy { voters, weakest_write_set, weak_write_sets }
     }
 
     /// A text for each requirement that is not met; empty if all are.
--- a/crates/placement/tests/redundancy.rs
+++ b/crates/placement/tests/redundancy.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn losses_of_regions_are_reported_as_not_planned_for() {
-    let stated = Tolerance { machines: 1, zones: 1, regions: 1 };
+    let required = Tolerance { machines: 1, zones: 1, regions: 1 };
     let full = group(3, &["a", "b", "c"]);
-    let short = Redundancy::new(full.clone(), vec![full], &stated).shortfall(&stated);
+    let short = Redundancy::new(full.clone(), vec![full], &required).shortfall(&required);
     assert_eq!(short, ["the loss of 1 regions is not planned for: only zones are known"]);
 }
 
