--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -1,5 +1,5 @@
-//! The files of a store, driven as a follower: what it acknowledged to the
-//! leader is what it was told is saved.
+//! The files of a store that follows a leader and acknowledges operations only
+//! once they are saved.
 use super::*;
 use dw_queue::prelude::*;
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
         me,
         seeds: vec![daemon("placement-1")],
         pull: Span::millis(400),
-        terms: Terms::default(),
+        terms: LeaseTerms::default(),
         bytes_max: 1 << 20,
         disk_max: 1 << 20,
         cache_max: 1 << 20,
@@ -61,18 +61,19 @@
     PartitionOp::Put(head, Stage::Pending, body)
 }
 
-/// The leader's ops, and what the follower acknowledged of them.
+/// The leader's operations, and how many of them the follower acknowledged.
 #[derive(Default)]
 struct Leader {
     ops: Vec<PartitionOp>,
-    made: u64,
+    messages_created: u64,
     acknowledged: u64,
-    mark: Option<IncarnationId>,
-    fresh: u64,
+    /// The disk id that the follower named in its acknowledgements.
+    disk_id: Option<IncarnationId>,
+    incarnations: u64,
 }
 
 impl Leader {
-    /// The records and stages after the first `n` ops.
+    /// The records and their stages after the first `n` operations.
     fn records(&self, n: u64) -> BTreeMap<MessageId, Stage> {
         let mut records = BTreeMap::new();
         for op in &self.ops[..n as usize] {
@@ -87,39 +88,40 @@
         records
     }
 
-    /// A new op: messages come, end and are dropped, most of them soon.
-    fn next_op(&mut self, dice: &mut Dice) -> PartitionOp {
+    /// Chooses the next operation: messages are created, end and are dropped,
+    /// most of them soon.
+    fn next_op(&mut self, random: &mut Random) -> PartitionOp {
         let records = self.records(self.ops.len() as u64);
-        let pick = records.iter().nth(dice.below(records.len().max(1) as u64) as usize);
-        match (pick, dice.below(8)) {
+        let pick = records.iter().nth(random.below(records.len().max(1) as u64) as usize);
+        match (pick, random.below(8)) {
             (Some((id, Stage::Pending)), 3..=4) => PartitionOp::SetStage(id.clone(), Stage::Ended(Outcome::Succeeded)),
             (Some((id, _)), 5..=7) => PartitionOp::Remove(id.clone()),
             _ => {
-                self.made += 1;
-                put(self.made)
+                self.messages_created += 1;
+                put(self.messages_created)
             }
         }
     }
 
-    fn hear(&mut self, effects: &[Effect]) {
+    fn record_acknowledgements(&mut self, effects: &[Effect]) {
         for effect in effects {
             let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, up_to: upto, disk_id: mark, .. }) = effect else {
                 continue;
             };
             self.acknowledged = self.acknowledged.max(*upto);
-            self.mark = Some(*mark);
+            self.disk_id = Some(*mark);
         }
     }
 
-    /// One life of the follower, until the power is lost.
-    fn live(&mut self, directory: &ModelDirectory, dice: &mut Dice) -> Result<(), TestCaseError> {
+    /// One incarnation of the follower, until the power is lost.
+    fn run_until_power_loss(&mut self, directory: &ModelDirectory, random: &mut Random) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
-        self.fresh += 1;
-        let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.fresh), Time(1));
+        self.incarnations += 1;
+        let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.incarnations), Time(1));
         store.ledger.fold_at = 3;
-        self.judge(&store)?;
-        directory.power_for(1 + dice.below(120));
-        if self.settle(directory, &folder, &mut store, effects) {
+        self.check_state_read(&store)?;
+        directory.supply_power_for(1 + random.below(120));
+        if self.perform_all(directory, &folder, &mut store, effects) {
             let lag = PeerMessage::Lagging {
                 partition: place(),
                 epoch: EPOCH,
@@ -127,32 +129,33 @@
                 disk_id: store.mark,
                 must_fetch: false,
             };
-            let mut alive = self.tell(directory, &folder, &mut store, lag);
-            while alive {
+            let mut has_power = self.deliver(directory, &folder, &mut store, lag);
+            while has_power {
                 let first = store.parts[&place()].n + 1;
-                for _ in 0..1 + dice.below(3) {
-                    let op = self.next_op(dice);
+                for _ in 0..1 + random.below(3) {
+                    let op = self.next_op(random);
                     self.ops.push(op);
                 }
-                directory.full_for(dice.below(2));
+                directory.fail_writes(random.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
                 let append = PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops };
-                alive = self.tell(directory, &folder, &mut store, append);
+                has_power = self.deliver(directory, &folder, &mut store, append);
             }
         }
         directory.lose_power();
         Ok(())
     }
 
-    /// What is read back holds all that was acknowledged, and is exactly what
-    /// the history makes of as many ops.
-    fn judge(&mut self, store: &Store) -> Result<(), TestCaseError> {
-        if let Some(mark) = self.mark {
-            prop_assert_eq!(store.mark, mark, "{} ops were acknowledged", self.acknowledged);
+    /// Checks that the state read back includes all acknowledged operations and
+    /// is exactly the result of as many operations as it claims to hold. The
+    /// operations beyond those are removed from the history.
+    fn check_state_read(&mut self, store: &Store) -> Result<(), TestCaseError> {
+        if let Some(disk_id) = self.disk_id {
+            prop_assert_eq!(store.mark, disk_id, "{} operations were acknowledged", self.acknowledged);
         }
         let part = store.parts.get(&place());
         let n = part.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
-        prop_assert!(n >= self.acknowledged, "{n} ops of {} acknowledged", self.acknowledged);
+        prop_assert!(n >= self.acknowledged, "{n} operations are read back of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
             part.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
         prop_assert_eq!(found, self.records(n));
@@ -160,17 +163,18 @@
         Ok(())
     }
 
-    fn tell(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, msg: PeerMessage) -> bool {
+    /// Delivers a message to the follower; false if the power was lost.
+    fn deliver(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, msg: PeerMessage) -> bool {
         let effects = store.step(Event::MessageReceived { from: daemon("store-2"), message: msg }, Time(2));
-        self.settle(directory, folder, store, effects)
+        self.perform_all(directory, folder, store, effects)
     }
 
-    /// Does all that follows; false when the power was lost.
-    fn settle(&mut self, directory: &ModelDirectory, folder: &Folder, store: &mut Store, effects: Vec<Effect>) -> bool {
+    /// Performs effects and those that follow from them; false if the power was lost.
+    fn perform_all(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, effects: Vec<Effect>) -> bool {
         let mut effects = effects;
         loop {
-            self.hear(&effects);
-            let Some(events) = perform(directory, folder, &effects) else { return false };
+            self.record_acknowledgements(&effects);
+            let Some(events) = perform_disk_effects(directory, folder, &effects) else { return false };
             if events.is_empty() {
                 return true;
             }
@@ -183,11 +187,11 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
     fn what_a_follower_acknowledged_is_read_back_and_nothing_dropped_returns(seed in any::<u64>()) {
-        let mut dice = Dice::new(seed);
+        let mut random = Random::new(seed);
         let directory = ModelDirectory::new(seed.rotate_left(29));
         let mut leader = Leader::default();
         for _ in 0..5 {
-            leader.live(&directory, &mut dice)?;
+            leader.run_until_power_loss(&directory, &mut random)?;
         }
     }
 }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -144,7 +144,7 @@
         let startup = Startup {
             me: member(id.as_str(), &id.as_str().replace("placement-", "z")),
             seeds: names.collect(),
-            terms: Terms::default(),
+            terms: LeaseTerms::default(),
             election: ElectionTiming::default(),
             window: Span::millis(1000),
             hold: Span::millis(3200),
@@ -269,7 +269,7 @@
                 f.updates.push(update);
             }
         }
-        let end = Terms::default().holder_end(requested_at);
+        let end = LeaseTerms::default().holder_expiry(requested_at);
         f.requested_back = grants.iter().filter(|g| g.release_requested).map(|g| g.duty.clone()).collect();
         if !grants.is_empty() {
             f.checkpoint.clear();
