--- a/crates/placement/src/primary/target_shards.rs
+++ b/crates/placement/src/primary/target_shards.rs
@@ -58,7 +58,7 @@
     /// The delivery daemons among which a duty may be balanced: those of its own zone while
     /// any of them is live, otherwise all.
     pub(super) fn preferred_deliveries(&self, duty: &Duty, now: Time) -> Vec<Daemon> {
-        let all = || self.committed.of(DaemonKind::Delivery).map(|m| m.id.clone());
+        let all = || self.committed.members_of_kind(DaemonKind::Delivery).map(|m| m.id.clone());
         let in_own_zone: Vec<Daemon> = all().filter(|d| !self.is_outside_own_zone(duty, d) && self.is_live(d, now)).collect();
         if in_own_zone.is_empty() {
             return all().collect();
@@ -69,12 +69,14 @@
     /// that zone can take it. This ends: each move leaves one duty fewer outside its zone.
     pub(super) fn request_moves_to_own_zone(&mut self, held: &[(Duty, Daemon)], now: Time) -> bool {
         let is_established =
-            |d: &Daemon| self.is_live(d, now) && self.daemons.get(d).is_some_and(|s| now.since(s.since) >= MIN_LIVE_TIME);
+            |d: &Daemon| self.is_live(d, now) && self.daemons.get(d).is_some_and(|s| now.since(s.live_since) >= MIN_LIVE_TIME);
         let moves: Vec<Duty> = held
             .iter()
             .filter(|(duty, holder)| self.is_outside_own_zone(duty, holder) && !self.is_move_delayed(duty, now))
             .filter(|(duty, _)| {
-                self.committed.of(DaemonKind::Delivery).any(|m| !self.is_outside_own_zone(duty, &m.id) && is_established(&m.id))
+                self.committed
+                    .members_of_kind(DaemonKind::Delivery)
+                    .any(|m| !self.is_outside_own_zone(duty, &m.id) && is_established(&m.id))
             })
             .map(|(duty, _)| duty.clone())
             .take(MAX_MOVES_TO_OWN_ZONE)
