--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -11,7 +11,7 @@
     Daemon(name.to_string())
 }
 
-fn place() -> PartitionId {
+fn partition() -> PartitionId {
     PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 1 }
 }
 
@@ -44,7 +44,7 @@
 
 fn put(number: u64) -> PartitionOp {
     let body = Bytes::from(format!("body of {number}"));
-    let head = MessageHeader {
+    let header = MessageHeader {
         id: MessageId(format!("m{number}")),
         key: String::new(),
         seq: number,
@@ -58,7 +58,7 @@
         delay: Span::ZERO,
         completion_token: String::new(),
     };
-    PartitionOp::Put(head, Stage::Pending, body)
+    PartitionOp::Put(header, Stage::Pending, body)
 }
 
 /// The leader's operations, and how many of them the follower acknowledged.
@@ -78,7 +78,7 @@
         let mut records = BTreeMap::new();
         for op in &self.ops[..n as usize] {
             match op {
-                PartitionOp::Put(head, stage, _) => _ = records.insert(head.id.clone(), *stage),
+                PartitionOp::Put(header, stage, _) => _ = records.insert(header.id.clone(), *stage),
                 PartitionOp::SetStage(id, stage) | PartitionOp::SetStageWithToken(id, stage, _) => {
                     _ = records.insert(id.clone(), *stage)
                 }
@@ -88,7 +88,7 @@
         records
     }
 
-    /// Chooses the next operation: messages are created, end and are dropped,
+    /// Chooses the next operation: messages are created, end and are removed,
     /// most of them soon.
     fn next_op(&mut self, random: &mut Random) -> PartitionOp {
         let records = self.records(self.ops.len() as u64);
@@ -103,13 +103,14 @@
         }
     }
 
+    /// Records up to which operation the follower acknowledged, and its disk id.
     fn record_acknowledgements(&mut self, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, up_to: upto, disk_id: mark, .. }) = effect else {
+            let Effect::Send(_, PeerMessage::Appended { epoch: EPOCH, up_to, disk_id, .. }) = effect else {
                 continue;
             };
-            self.acknowledged = self.acknowledged.max(*upto);
-            self.disk_id = Some(*mark);
+            self.acknowledged = self.acknowledged.max(*up_to);
+            self.disk_id = Some(*disk_id);
         }
     }
 
@@ -122,23 +123,23 @@
         self.check_state_read(&store)?;
         directory.supply_power_for(1 + random.below(120));
         if self.perform_all(directory, &folder, &mut store, effects) {
-            let lag = PeerMessage::Lagging {
-                partition: place(),
+            let lagging = PeerMessage::Lagging {
+                partition: partition(),
                 epoch: EPOCH,
                 expected: Some((Epoch::ZERO, 0)),
                 disk_id: store.mark,
                 must_fetch: false,
             };
-            let mut has_power = self.deliver(directory, &folder, &mut store, lag);
+            let mut has_power = self.deliver(directory, &folder, &mut store, lagging);
             while has_power {
-                let first = store.parts[&place()].n + 1;
+                let first = store.parts[&partition()].n + 1;
                 for _ in 0..1 + random.below(3) {
                     let op = self.next_op(random);
                     self.ops.push(op);
                 }
                 directory.fail_writes(random.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
-                let append = PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops };
+                let append = PeerMessage::Append { partition: partition(), epoch: EPOCH, first, ops };
                 has_power = self.deliver(directory, &folder, &mut store, append);
             }
         }
@@ -153,19 +154,19 @@
         if let Some(disk_id) = self.disk_id {
             prop_assert_eq!(store.mark, disk_id, "{} operations were acknowledged", self.acknowledged);
         }
-        let part = store.parts.get(&place());
-        let n = part.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
+        let partition_state = store.parts.get(&partition());
+        let n = partition_state.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
         prop_assert!(n >= self.acknowledged, "{n} operations are read back of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
-            part.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
+            partition_state.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
         prop_assert_eq!(found, self.records(n));
         self.ops.truncate(n as usize);
         Ok(())
     }
 
     /// Delivers a message to the follower; false if the power was lost.
-    fn deliver(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, msg: PeerMessage) -> bool {
-        let effects = store.step(Event::MessageReceived { from: daemon("store-2"), message: msg }, Time(2));
+    fn deliver(&mut self, directory: &ModelDirectory, folder: &DataFolder, store: &mut Store, message: PeerMessage) -> bool {
+        let effects = store.step(Event::MessageReceived { from: daemon("store-2"), message }, Time(2));
         self.perform_all(directory, folder, store, effects)
     }
 
@@ -186,7 +187,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn what_a_follower_acknowledged_is_read_back_and_nothing_dropped_returns(seed in any::<u64>()) {
+    fn what_a_follower_acknowledged_is_read_back_and_no_removed_record_returns(seed in any::<u64>()) {
         let mut random = Random::new(seed);
         let directory = ModelDirectory::new(seed.rotate_left(29));
         let mut leader = Leader::default();
--- a/crates/versions/tests/lives.rs
+++ b/crates/versions/tests/lives.rs
@@ -20,7 +20,7 @@
     let mut link = ControlPlaneLink::new(member(), vec![Daemon("placement-1".into())], PULL_INTERVAL, LeaseTerms::default());
     let out = link.tick(now, || None);
     assert!(
-        matches!(out.last(), Some(Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. })) if *asked == now),
+        matches!(out.last(), Some(Effect::Send(_, PeerMessage::Pull { requested_at, .. })) if *requested_at == now),
         "{out:?}"
     );
     (link, now)
@@ -42,8 +42,18 @@
 /// Whether the link accepts a grant in the response to a pull sent at `requested_at`.
 fn accepts_grant(link: &mut ControlPlaneLink, requested_at: Time, now: Time) -> bool {
     let from = Daemon("placement-1".into());
-    let current_for = Some(Span::secs(2));
-    link.apply_updates(&from, requested_at, Term(1), current_for, Vec::new(), vec![grant()], Vec::new(), now, &mut Vec::new());
+    let config_valid_for = Some(Span::secs(2));
+    link.apply_updates(
+        &from,
+        requested_at,
+        Term(1),
+        config_valid_for,
+        Vec::new(),
+        vec![grant()],
+        Vec::new(),
+        now,
+        &mut Vec::new(),
+    );
     link.leases.active_epoch(&grant().duty, now).is_some()
 }
 
