--- a/crates/disk/tests/power_loss/hard_state.rs
+++ b/crates/disk/tests/power_loss/hard_state.rs
@@ -1,6 +1,6 @@
 //! The saved versions of a placement replica's hard state.
 use super::*;
-use dw_placement::hard_files::{Found, HardFiles};
+use dw_placement::hard_files::{HardStateFiles, StoredState};
 use dw_placement::prelude::{HardState, IncarnationId, Order, Term};
 use proptest::prelude::*;
 
@@ -22,11 +22,13 @@
     /// One incarnation: reads the folder, and saves until the power is lost.
     fn run_until_power_loss(&mut self, directory: &ModelDirectory, random: &mut Random) -> Result<(), TestCaseError> {
         let (folder, files) = open(directory);
-        let (mut hard, found) = HardFiles::read(&files);
+        let (mut hard, found) = HardStateFiles::read(&files);
         match found {
-            Found::Lost => prop_assert!(false, "the state is lost, with term {} reported as saved", self.last_reported),
-            Found::Nothing => prop_assert_eq!(self.last_reported, 0),
-            Found::State(found) => {
+            StoredState::Unreadable => {
+                prop_assert!(false, "the state is lost, with term {} reported as saved", self.last_reported)
+            }
+            StoredState::Missing => prop_assert_eq!(self.last_reported, 0),
+            StoredState::Readable(found) => {
                 prop_assert!(
                     found.term.0 >= self.last_reported,
                     "term {} is read back after {} was reported",
@@ -44,7 +46,7 @@
     }
 
     /// Saves a few new states, until all are reported; false if the power was lost.
-    fn save(&mut self, directory: &ModelDirectory, folder: &DataFolder, hard: &mut HardFiles, random: &mut Random) -> bool {
+    fn save(&mut self, directory: &ModelDirectory, folder: &DataFolder, hard: &mut HardStateFiles, random: &mut Random) -> bool {
         let mut effects = Vec::new();
         for _ in 0..1 + random.below(3) {
             self.last_requested += 1;
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -1,74 +1,75 @@
-//! Tells operators when a second loss would be one too many.
+//! Warns operators when fewer further failures could be survived than required.
 use crate::prelude::*;
 use serde_json::{json, Value};
 
-/// Between two looks.
-const LOOK: Span = Span::secs(1);
-/// A shortfall that lasts for so long is told: a restart is over before.
-const TOLD_AFTER: Span = Span::secs(2);
+/// Time between two checks.
+const CHECK_INTERVAL: Span = Span::secs(1);
+/// A shortfall is reported after it has lasted this long: a restart is over before.
+const REPORT_DELAY: Span = Span::secs(2);
 
-/// Since when fewer losses are borne than stated, and what was told of it.
+/// Since when fewer failures could be survived than required, and what was reported of it.
 #[derive(Debug, Default)]
 pub(super) struct Shortfall {
-    looked: Time,
+    last_checked: Time,
     since: Option<Time>,
-    told: Vec<String>,
+    reported: Vec<String>,
 }
 
 impl Placement {
-    fn redundancy(&self, now: Time) -> Redundancy {
+    /// The redundancy of the voters and of all write sets at this moment.
+    fn current_redundancy(&self, now: Time) -> Redundancy {
         let voters = self.election.connected_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
-        let voters = Group { size: self.election.configuration().voter_names().len(), present: voters };
-        let sets = self.hard.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
-        Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
+        let voters = QuorumGroup { size: self.election.configuration().voter_names().len(), present: voters };
+        let sets =
+            self.committed.layout.values().map(|set| QuorumGroup { size: set.len(), present: self.present_zones(set, now) });
+        Redundancy::new(voters, sets.collect(), &self.startup.tolerates)
     }
 
-    /// Zones of the stores of a write set that are live with the folder that
+    /// The zones of those stores of a write set that are live with the data folder that
     /// counts.
     fn present_zones(&self, set: &[(Daemon, IncarnationId)], now: Time) -> Vec<Zone> {
         let is_present = |seat: &&(Daemon, IncarnationId)| {
-            self.live(&seat.0, now) && self.seen.get(&seat.0).is_some_and(|seen| seen.disk == seat.1)
+            self.is_live(&seat.0, now) && self.daemons.get(&seat.0).is_some_and(|seen| seen.disk_id == seat.1)
         };
         let present = set.iter().filter(is_present);
-        present.filter_map(|seat| self.hard.members.get(&seat.0).map(|member| member.zone.clone())).collect()
+        present.filter_map(|seat| self.committed.members.get(&seat.0).map(|member| member.zone.clone())).collect()
     }
 
-    /// Notes since when the stated losses are not borne, and tells of it when
-    /// it lasts or changes, and when it is over.
-    pub(super) fn watch_redundancy(&mut self, now: Time) {
-        if now.since(self.shortfall.looked) < LOOK {
+    /// Reports a shortfall when it has lasted for a while or changes, and when it is over.
+    pub(super) fn check_redundancy(&mut self, now: Time) {
+        if now.since(self.shortfall.last_checked) < CHECK_INTERVAL {
             return;
         }
-        self.shortfall.looked = now;
-        let short = self.redundancy(now).shortfall(&self.startup.tolerates);
-        if short.is_empty() {
+        self.shortfall.last_checked = now;
+        let shortfall = self.current_redundancy(now).shortfall(&self.startup.tolerates);
+        if shortfall.is_empty() {
             self.shortfall.since = None;
-            if !std::mem::take(&mut self.shortfall.told).is_empty() {
-                self.note(LogEvent::RedundancyRestored, "voters and write sets".to_string());
+            if !std::mem::take(&mut self.shortfall.reported).is_empty() {
+                self.log(LogEvent::RedundancyRestored, "voters and write sets".to_string());
             }
             return;
         }
         let since = *self.shortfall.since.get_or_insert(now);
-        if now.since(since) >= TOLD_AFTER && short != self.shortfall.told {
-            self.note(LogEvent::RedundancyReduced, short.join("; "));
-            self.shortfall.told = short;
+        if now.since(since) >= REPORT_DELAY && shortfall != self.shortfall.reported {
+            self.log(LogEvent::RedundancyReduced, shortfall.join("; "));
+            self.shortfall.reported = shortfall;
         }
     }
 
-    /// For the status: what is borne now, beside what is stated.
+    /// For the status: the failures that could be survived now, beside those required.
     pub(super) fn redundancy_status(&self, now: Time) -> Value {
-        let stated = &self.startup.tolerates;
-        let redundancy = self.redundancy(now);
-        let group = |group: &Group| {
-            json!({"size": group.size, "present": group.present.len(), "machines": group.machines(),
-                   "zones": group.bears_zones(stated.zones)})
+        let required = &self.startup.tolerates;
+        let redundancy = self.current_redundancy(now);
+        let group = |group: &QuorumGroup| {
+            json!({"size": group.size, "present": group.present.len(), "machines": group.spare_machines(),
+                   "zones": group.survives_zone_losses(required.zones)})
         };
         json!({
-            "stated": {"machines": stated.machines, "zones": stated.zones, "regions": stated.regions},
+            "stated": {"machines": required.machines, "zones": required.zones, "regions": required.regions},
             "voters": group(&redundancy.voters),
-            "weakest_write_set": redundancy.weakest_set.as_ref().map(group),
-            "weak_write_sets": redundancy.weak_sets,
-            "shortfall": redundancy.shortfall(stated),
+            "weakest_write_set": redundancy.weakest_write_set.as_ref().map(group),
+            "weak_write_sets": redundancy.weak_write_sets,
+            "shortfall": redundancy.shortfall(required),
         })
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::thread_time::{nanos, reading_cost};
 use dw_delivery::prelude::{Delivery, Startup as Carrier};
 use dw_ingest::prelude::{Agent, Proxy, Startup as Edge};
-use dw_placement::prelude::{ElectionTiming, Hard, Placement, Startup as Placer};
+use dw_placement::prelude::{ElectionTiming, Placement, PlacementState, Startup as Placer};
 use dw_queue::prelude::{Startup as StoreStartup, Store};
 use dw_shell::prelude::{Bounds, Times};
 use std::collections::HashMap;
@@ -92,7 +92,7 @@
     }
 
     /// Adds one daemon as its program would start it.
-    pub fn add(&mut self, id: Daemon, hard: &Hard) {
+    pub fn add(&mut self, id: Daemon, hard: &PlacementState) {
         let disk: BTreeMap<String, Bytes> = match id.kind() {
             DaemonKind::Placement => self.shape.folder(&id, hard).into_iter().collect(),
             _ => BTreeMap::new(),
@@ -136,16 +136,16 @@
                 let s = Placer {
                     seeds,
                     me,
-                    terms,
+                    lease_terms: terms,
                     election: ElectionTiming::default(),
-                    window: Span::millis(times.window),
-                    hold: Span::millis(times.hold),
+                    max_report_wait: Span::millis(times.window),
+                    reservation_time: Span::millis(times.hold),
                     config_lease: Span::millis(times.config_lease),
-                    platform: "10.0.0.1:80/workers".into(),
-                    poll: Span::millis(times.poll),
-                    seed,
-                    paged: false,
-                    list_rate: 0.0,
+                    worker_list_address: "10.0.0.1:80/workers".into(),
+                    worker_list_interval: Span::millis(times.poll),
+                    random_seed: seed,
+                    worker_list_is_paged: false,
+                    worker_list_calls_per_second: 0.0,
                     tolerates: Tolerance::default(),
                 };
                 let (c, e) = Placement::new(s, files, mark_of(id), false, self.now);
@@ -155,17 +155,17 @@
                 let s = StoreStartup {
                     me,
                     seeds,
-                    pull,
-                    terms,
-                    bytes_max: b.bytes,
-                    disk_max: b.disk,
-                    cache_max: b.cache,
-                    count_max: b.messages,
-                    backoff: Span::millis(times.backoff),
-                    backoff_max: Span::millis(times.backoff_max),
-                    seed,
-                    word: Span::millis(times.give_up + 100),
-                    wall: WALL + self.now.0,
+                    pull_interval: pull,
+                    lease_terms: terms,
+                    max_body_bytes: b.bytes,
+                    max_disk_bytes: b.disk,
+                    max_cached_bytes: b.cache,
+                    max_messages: b.messages,
+                    min_backoff: Span::millis(times.backoff),
+                    max_backoff: Span::millis(times.backoff_max),
+                    rng_seed: seed,
+                    max_answer_delay: Span::millis(times.give_up + 100),
+                    started_unix_micros: WALL + self.now.0,
                 };
                 let (c, e) = Store::new(s, &files, mark_of(id), self.now);
                 (Box::new(c), e)
