--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -116,7 +116,7 @@
         let (folder, files) = open(directory);
         self.fresh += 1;
         let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.fresh), Time(1));
-        store.ledger.fold_at = 3;
+        store.ledger.compaction_threshold = 3;
         self.judge(&store)?;
         directory.power_for(1 + dice.below(120));
         if self.settle(directory, &folder, &mut store, effects) {
@@ -129,7 +129,7 @@
             };
             let mut alive = self.tell(directory, &folder, &mut store, lag);
             while alive {
-                let first = store.parts[&place()].n + 1;
+                let first = store.parts[&place()].last_op + 1;
                 for _ in 0..1 + dice.below(3) {
                     let op = self.next_op(dice);
                     self.ops.push(op);
@@ -151,10 +151,10 @@
             prop_assert_eq!(store.mark, mark, "{} ops were acknowledged", self.acknowledged);
         }
         let part = store.parts.get(&place());
-        let n = part.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
+        let n = part.filter(|p| p.installed_epoch == EPOCH).map_or(0, |p| p.last_op);
         prop_assert!(n >= self.acknowledged, "{n} ops of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
-            part.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
+            part.iter().flat_map(|p| p.records.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
         prop_assert_eq!(found, self.records(n));
         self.ops.truncate(n as usize);
         Ok(())
--- a/crates/queue/src/rest.rs
+++ b/crates/queue/src/longest_attempt.rs
@@ -3,32 +3,32 @@
 
 /// How much later than this store another leader may have learnt of a
 /// configuration: none hands out what it can't confirm for longer.
-const CONFIGURATION_LAG: Span = Span::secs(3);
+const MAX_CONFIG_LAG: Span = Span::secs(3);
 /// For clocks that run at different rates, in parts of a hundred.
-const MARGIN: u64 = 110;
+const CLOCK_RATE_PERCENT: u64 = 110;
 
 /// The longest that an attempt lasts from its hand-out, by any configuration
 /// that a leader may have used lately.
 /// Invariant: `earlier` only holds what is longer than what came after it.
 #[derive(Debug, Default)]
 pub struct LongestAttempt {
-    by_present: Span,
+    current: Span,
     earlier: Vec<(Span, Time)>,
 }
 
 impl LongestAttempt {
     /// A configuration is in force by which an attempt lasts so long at most.
-    pub fn learn(&mut self, longest: Span, now: Time) {
+    pub fn set_current(&mut self, longest: Span, now: Time) {
         self.earlier.retain(|(_, until)| now < *until);
-        if longest < self.by_present {
-            self.earlier.push((self.by_present, now + self.by_present + CONFIGURATION_LAG));
+        if longest < self.current {
+            self.earlier.push((self.current, now + self.current + MAX_CONFIG_LAG));
         }
-        self.by_present = longest;
+        self.current = longest;
     }
 
     /// After this long, no attempt handed out before now is under way.
-    pub fn rest(&self, now: Time) -> Span {
+    pub fn failover_hold(&self, now: Time) -> Span {
         let earlier = self.earlier.iter().filter(|(_, until)| now < *until).map(|(longest, _)| *longest);
-        earlier.fold(self.by_present, Span::max).percent(MARGIN)
+        earlier.fold(self.current, Span::max).percent(CLOCK_RATE_PERCENT)
     }
 }
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -26,10 +26,10 @@
         let zone = self.startup.me.zone.clone();
         let far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
         let all = self.backup_candidates(place, &zones);
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
+        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
         let needed = own.backups_needed();
         if lost.is_some_and(|lost| !far(lost)) {
-            own.near_drawn = now;
+            own.near_backup_tried = now;
         }
         own.backups.retain(|d, _| all.contains(d) && Some(d) != lost);
         // The one after the lost one comes first, the lost one itself last.
@@ -48,7 +48,7 @@
         if joined.is_empty() {
             return;
         }
-        own.asked = Time(0);
+        own.last_request = Time(0);
         if lost.is_some() {
             let names: Vec<String> = joined.iter().map(|d| d.to_string()).collect();
             self.note(LogEvent::BackupChosen, format!("{place} now {}", names.join(", ")));
@@ -58,14 +58,14 @@
 
     /// The peers that may be backups of a partition, the fittest first.
     fn backup_candidates(&self, place: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return Vec::new() };
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
-        let leaves = |d: &Daemon| own.swap.as_ref().is_some_and(|s| s.0 == *d);
+        let leaves = |d: &Daemon| own.replacement.as_ref().is_some_and(|s| s.0 == *d);
         // One backup has to be in another zone; of several, any may be near.
         let near_too = own.backups_needed() > 1;
         let apart = |d: &Daemon| zones.get(d).is_some_and(|z| near_too || *z != me.zone);
         let mut all: Vec<Daemon> =
-            own.set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && apart(d) && !leaves(d)).collect();
+            own.write_set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && apart(d) && !leaves(d)).collect();
         if all.is_empty() {
             return all;
         }
@@ -74,9 +74,9 @@
         // Fenced ones have shown they are there; one whose folder was lost
         // does not count until its new one is known to all. Of those alike the
         // ones of this zone first: each op then leaves it as seldom as may be.
-        let fitness = |d: &Daemon| match own.folder_of(d) {
+        let fitness = |d: &Daemon| match own.disk_id_of(d) {
             None => 1,
-            Some(mark) if own.counts(d, mark) => 0,
+            Some(mark) if own.is_counted(d, mark) => 0,
             Some(_) => 2,
         };
         let is_far = |d: &Daemon| zones.get(d).is_none_or(|z| *z != me.zone);
@@ -87,7 +87,9 @@
     /// A peer closed its line: where something waits for its copy, another
     /// takes its part at once.
     pub(super) fn on_cut(&mut self, d: &Daemon, now: Time) {
-        let waits = |p: &Part| p.own.as_ref().is_some_and(|o| o.backups.contains_key(d) && !o.waits.is_empty());
+        let waits = |p: &PartitionReplica| {
+            p.leader_state.as_ref().is_some_and(|o| o.backups.contains_key(d) && !o.commit_actions.is_empty())
+        };
         let all: Vec<PartitionId> = self.parts.iter().filter(|(_, p)| waits(p)).map(|(k, _)| k.clone()).collect();
         for place in all {
             self.choose_backups(&place, Some(d), now);
@@ -101,13 +103,17 @@
         }
         let longest = self.startup.terms.length.percent(QUIET);
         let silent = |own: &LeaderState| {
-            let patience = Patience { least: own.patience_least.now(now), longest };
+            let patience = SilenceLimits { min: own.min_silence.current(now), max: longest };
             let is_silent =
                 |backup: &Daemon, since: &Time| own.peers.get(backup).is_some_and(|s| s.is_silent(*since, patience, now));
-            !own.waits.is_empty() && own.backups.iter().any(|(backup, since)| is_silent(backup, since))
+            !own.commit_actions.is_empty() && own.backups.iter().any(|(backup, since)| is_silent(backup, since))
         };
-        let due: Vec<PartitionId> =
-            self.parts.iter().filter(|(_, p)| p.own.as_ref().is_some_and(silent)).map(|(place, _)| place.clone()).collect();
+        let due: Vec<PartitionId> = self
+            .parts
+            .iter()
+            .filter(|(_, p)| p.leader_state.as_ref().is_some_and(silent))
+            .map(|(place, _)| place.clone())
+            .collect();
         for place in due {
             if self.link.may(&Duty::Lead(place.clone()), now).is_some() {
                 self.tend(&place, now);
@@ -117,7 +123,7 @@
 
     /// Sees to the backups, and to seats whose copy does not count yet.
     pub(super) fn tend(&mut self, place: &PartitionId, now: Time) {
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
         if own.backups.is_empty() {
             self.choose_backups(place, None, now);
         }
@@ -129,7 +135,7 @@
         }
         self.watch_copies(place, now);
         self.dirty.insert(place.clone());
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
         if lost.is_some() || own.backups.len() < own.backups_needed() {
             return self.choose_backups(place, lost.as_ref(), now);
         }
@@ -145,40 +151,40 @@
     /// sealed: then nothing has to be copied.
     fn spread_backups(&mut self, place: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        if own.phase != Phase::Serving || own.backups_needed() != 1 || own.spread == Spread::Done {
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
+        if own.phase != Phase::Serving || own.backups_needed() != 1 || own.balancing == BackupBalancing::Done {
             return;
         }
-        let first = match own.spread {
-            Spread::Open => self.backup_candidates(place, &zones).into_iter().next(),
+        let first = match own.balancing {
+            BackupBalancing::NotStarted => self.backup_candidates(place, &zones).into_iter().next(),
             _ => None,
         };
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
-        match own.spread.clone() {
-            Spread::Open if now.since(own.opened) > SPREAD_WITHIN => own.spread = Spread::Done,
-            Spread::Open => {
-                if own.fences.len() + 1 < own.set.len() {
+        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
+        match own.balancing.clone() {
+            BackupBalancing::NotStarted if now.since(own.serving_since) > SPREAD_WITHIN => own.balancing = BackupBalancing::Done,
+            BackupBalancing::NotStarted => {
+                if own.fenced_replicas.len() + 1 < own.write_set.len() {
                     return;
                 }
-                own.spread = Spread::Done;
+                own.balancing = BackupBalancing::Done;
                 let Some(first) = first.filter(|d| !own.backups.contains_key(d)) else { return };
-                let stands = own.fences.get(&first).filter(|fence| own.counts(&first, fence.disk_id));
-                if stands.is_some_and(|fence| own.was == Some((fence.installed_epoch, fence.last_op))) {
+                let stands = own.fenced_replicas.get(&first).filter(|fence| own.is_counted(&first, fence.disk_id));
+                if stands.is_some_and(|fence| own.recovered_state == Some((fence.installed_epoch, fence.last_op))) {
                     own.backups.insert(first.clone(), now);
-                    own.spread = Spread::Drawn(first);
+                    own.balancing = BackupBalancing::CatchingUp(first);
                 }
             }
-            Spread::Drawn(first) if !own.backups.contains_key(&first) => own.spread = Spread::Done,
-            Spread::Drawn(first) => {
-                if own.is_level(&first) {
+            BackupBalancing::CatchingUp(first) if !own.backups.contains_key(&first) => own.balancing = BackupBalancing::Done,
+            BackupBalancing::CatchingUp(first) => {
+                if own.is_caught_up(&first) {
                     own.backups.retain(|backup, _| *backup == first);
-                    own.spread = Spread::Done;
-                } else if now.since(own.opened) > SPREAD_WITHIN && own.backups.len() > 1 {
+                    own.balancing = BackupBalancing::Done;
+                } else if now.since(own.serving_since) > SPREAD_WITHIN && own.backups.len() > 1 {
                     own.backups.remove(&first);
-                    own.spread = Spread::Done;
+                    own.balancing = BackupBalancing::Done;
                 }
             }
-            Spread::Done => {}
+            BackupBalancing::Done => {}
         }
     }
 
@@ -190,21 +196,21 @@
         let here = self.startup.me.zone.clone();
         let near = |d: &Daemon| zones.get(d).is_some_and(|z| *z == here);
         let candidates = self.backup_candidates(place, &zones);
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
+        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
         if own.phase != Phase::Serving || own.backups_needed() < 2 {
             return;
         }
         if own.backups.len() > own.backups_needed() {
             return own.release_far_backup(near);
         }
-        if own.backups.keys().any(near) || now.since(own.near_drawn) < NEAR_DRAWN_AGAIN {
+        if own.backups.keys().any(near) || now.since(own.near_backup_tried) < NEAR_DRAWN_AGAIN {
             return;
         }
-        let counts = |d: &Daemon| own.folder_of(d).is_some_and(|mark| own.counts(d, mark));
+        let counts = |d: &Daemon| own.disk_id_of(d).is_some_and(|mark| own.is_counted(d, mark));
         let Some(next) = candidates.into_iter().find(|d| near(d) && counts(d)) else { return };
-        own.near_drawn = now;
+        own.near_backup_tried = now;
         own.backups.insert(next, now);
-        own.asked = Time(0);
+        own.last_request = Time(0);
     }
 
     /// The backups that need a whole copy, and one that has to give way: it lags
@@ -217,27 +223,27 @@
         let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *here);
         let (mut to_copy, mut lost) = (Vec::new(), None);
         let Some(p) = self.parts.get_mut(place) else { return (to_copy, lost) };
-        let Some(own) = p.own.as_mut() else { return (to_copy, lost) };
-        let top = p.n;
-        let patience = Patience { least: own.patience_least.now(now), longest };
+        let Some(own) = p.leader_state.as_mut() else { return (to_copy, lost) };
+        let top = p.last_op;
+        let patience = SilenceLimits { min: own.min_silence.current(now), max: longest };
         for (backup, since) in own.backups.clone() {
-            let is_empty = own.has_lost_its_disk(&backup) && own.has_other_backup(&backup, &self.startup.me.id, is_far);
+            let is_empty = own.has_lost_disk(&backup) && own.has_alternative_backup(&backup, &self.startup.me.id, is_far);
             let peer = own.peers.entry(backup.clone()).or_default();
-            let behind = peer.note_behind(top, now);
+            let behind = peer.update_behind(top, now);
             let quiet = !still && peer.is_silent(since, patience, now);
-            let leaves = own.swap.as_ref().is_some_and(|s| s.0 == backup);
+            let leaves = own.replacement.as_ref().is_some_and(|s| s.0 == backup);
             if (behind && quiet) || leaves || is_empty {
                 if lost.is_none() && !leaves && !is_empty {
-                    own.patience_least.note_given_way(longest, now);
+                    own.min_silence.record_replacement(longest, now);
                 }
                 lost.get_or_insert(backup);
                 continue;
             }
-            if behind && now.since(peer.asked) > BACKUP_ASKED_AGAIN {
-                peer.asked = now;
-                match peer.have {
+            if behind && now.since(peer.last_request) > BACKUP_ASKED_AGAIN {
+                peer.last_request = now;
+                match peer.synced_op {
                     None => to_copy.push(backup.clone()),
-                    Some(h) => peer.sent = h,
+                    Some(h) => peer.sent_op = h,
                 }
             }
         }
@@ -249,20 +255,20 @@
     /// sees to them too: one of them may be the only store there.
     fn seats_to_fill(&mut self, place: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return to_copy };
-        if !own.is_whole() {
+        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return to_copy };
+        if !own.has_complete_data() {
             return to_copy;
         }
-        let joining = own.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
-        for (store, mark) in own.set.clone().into_iter().chain(joining) {
+        let joining = own.replacement.iter().map(|s| (s.1.clone(), IncarnationId(0)));
+        for (store, mark) in own.write_set.clone().into_iter().chain(joining) {
             let disk = self.link.members.get(&store).map(|m| m.disk_id);
             if store == self.startup.me.id || disk.is_none_or(|m| m == mark) {
                 continue;
             }
-            let whole = own.whole.get(&store) == disk.as_ref();
+            let whole = own.complete_copies.get(&store) == disk.as_ref();
             let peer = own.peers.entry(store.clone()).or_default();
-            if !whole && now.since(peer.asked) > SEAT_ASKED_AGAIN {
-                peer.asked = now;
+            if !whole && now.since(peer.last_request) > SEAT_ASKED_AGAIN {
+                peer.last_request = now;
                 to_copy.push(store);
             }
         }
@@ -273,41 +279,41 @@
     /// that is away may come back with its folder: it is not among them.
     pub(super) fn seats_without_copy(&self, own: &LeaderState) -> Vec<Daemon> {
         let lost = |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
-        own.set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
+        own.write_set.iter().filter(lost).map(|seat| seat.0.clone()).collect()
     }
 
     /// Notes since when copies are lacking, and tells of it when it lasts.
     fn watch_copies(&mut self, place: &PartitionId, now: Time) {
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        let (short, lacking) = (own.short, self.seats_without_copy(own));
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
+        let (short, lacking) = (own.missing_copies, self.seats_without_copy(own));
         let names: Vec<String> = lacking.iter().map(Daemon::to_string).collect();
         let next = match short {
             _ if lacking.is_empty() => None,
-            None => Some(ShortOfCopies { since: now, told: false }),
-            Some(known) => Some(ShortOfCopies { told: known.told || now.since(known.since) > SHORT_TOLD, ..known }),
+            None => Some(MissingCopies { since: now, reported: false }),
+            Some(known) => Some(MissingCopies { reported: known.reported || now.since(known.since) > SHORT_TOLD, ..known }),
         };
-        let (was_told, is_told) = (short.is_some_and(|s| s.told), next.is_some_and(|s| s.told));
+        let (was_told, is_told) = (short.is_some_and(|s| s.reported), next.is_some_and(|s| s.reported));
         if is_told && !was_told {
             self.note(LogEvent::TooFewCopies, format!("{place} lacks {}", names.join(", ")));
         }
         if was_told && next.is_none() {
             self.note(LogEvent::CopiesRestored, place.to_string());
         }
-        if let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) {
-            own.short = next;
+        if let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) {
+            own.missing_copies = next;
         }
     }
 
     /// Stores of the set that were never fenced may have come back since.
     fn seal_unfenced(&mut self, place: &PartitionId, now: Time) {
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.own.as_mut()) else { return };
+        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
         let me = &self.startup.me.id;
         let unseen: Vec<Daemon> =
-            own.set.iter().map(|seat| seat.0.clone()).filter(|d| d != me && !own.fences.contains_key(d)).collect();
-        if own.phase != Phase::Serving || unseen.is_empty() || now.since(own.asked) <= SEAL_ASKED_AGAIN {
+            own.write_set.iter().map(|seat| seat.0.clone()).filter(|d| d != me && !own.fenced_replicas.contains_key(d)).collect();
+        if own.phase != Phase::Serving || unseen.is_empty() || now.since(own.last_request) <= SEAL_ASKED_AGAIN {
             return;
         }
-        own.asked = now;
+        own.last_request = now;
         let epoch = own.epoch;
         for store in unseen {
             self.say(&store, PeerMessage::Fence { partition: place.clone(), epoch });
@@ -316,13 +322,13 @@
 
     /// Tells a peer that it lacks this epoch, so that it asks for a copy.
     fn offer_copy(&mut self, place: &PartitionId, peer: Daemon) {
-        let Some(own) = self.parts.get(place).and_then(|p| p.own.as_ref()) else { return };
-        let mark = own.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
-        let short = own.peers.get(&peer).is_some_and(|s| s.short);
+        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
+        let mark = own.write_set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
+        let short = own.peers.get(&peer).is_some_and(|s| s.must_fetch);
         let lag = PeerMessage::Lagging {
             partition: place.clone(),
             epoch: own.epoch,
-            expected: own.was,
+            expected: own.recovered_state,
             disk_id: mark,
             must_fetch: short,
         };
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -23,7 +23,7 @@
     /// whole, hands out.
     fn hands_out(&self, place: &PartitionId, epoch: Epoch) -> bool {
         let Some(part) = self.parts.get(place) else { return false };
-        part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
+        part.promised_epoch == epoch && part.leader_state.as_ref().is_none_or(LeaderState::has_complete_data)
     }
 
     /// A store that knows no parts is sent the list of all records.
@@ -31,7 +31,7 @@
         if !self.hands_out(&place, epoch) {
             return;
         }
-        let digest = self.parts[&place].digest();
+        let digest = self.parts[&place].snapshot();
         self.say(&from, PeerMessage::WholeCopy { partition: place, epoch, snapshot: digest });
     }
 
@@ -41,9 +41,9 @@
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()).and_then(|own| own.peers.get_mut(&from));
+        let peer = self.parts.get_mut(&place).and_then(|p| p.leader_state.as_mut()).and_then(|own| own.peers.get_mut(&from));
         if let Some(peer) = peer {
-            peer.heard = now;
+            peer.last_contact = now;
         }
         let bodies = self.bodies_of(&place, &ids, now);
         let who = Parked::Want { from: from.clone(), epoch, ids };
@@ -60,9 +60,9 @@
             return;
         }
         // One that copies is not silent, however long that takes.
-        let peer = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()).and_then(|own| own.peers.get_mut(&from));
+        let peer = self.parts.get_mut(&place).and_then(|p| p.leader_state.as_mut()).and_then(|own| own.peers.get_mut(&from));
         if let Some(peer) = peer {
-            peer.heard = now;
+            peer.last_contact = now;
         }
         let bodies = self.bodies_of(&place, &request.wanted, now);
         let who = Parked::CopyPart { from: from.clone(), epoch, request: request.clone() };
@@ -75,8 +75,8 @@
         }
         self.counts.bodies_sent += bodies.here.len() as u64;
         let part = Box::new(self.parts[&place].copy_part(request.position, bodies.here));
-        if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
-            own.note_copying(from.clone(), part.last_op, now);
+        if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.leader_state.as_mut()) {
+            own.record_copying_peer(from.clone(), part.last_op, now);
         }
         self.say(&from, PeerMessage::CopyPart { partition: place, epoch, part });
     }
@@ -87,7 +87,9 @@
         let mut bodies = Bodies::default();
         let mut size = 0;
         for id in ids {
-            let Some(len) = self.parts[place].recs.get(id).map(|r| r.head.len as usize).filter(|len| *len > 0) else { continue };
+            let Some(len) = self.parts[place].records.get(id).map(|r| r.header.len as usize).filter(|len| *len > 0) else {
+                continue;
+            };
             match self.body_of(place, id) {
                 Body::Here(body) => bodies.here.push((id.clone(), body)),
                 Body::Later => bodies.on_disk.push(id.clone()),
@@ -113,7 +115,7 @@
     }
 }
 
-impl Part {
+impl PartitionReplica {
     /// The part of a copy that goes on from `position`; from the beginning, if
     /// the operations since then are no longer kept.
     fn copy_part(&self, position: Option<CopyPosition>, bodies: Vec<(MessageId, Bytes)>) -> CopyPart {
@@ -122,23 +124,23 @@
             Some((ops, at)) => (ops, Some(at)),
             None => (Vec::new(), None),
         };
-        let n = from.as_ref().map_or(self.n, |at| at.last_op + ops.len() as u64);
+        let n = from.as_ref().map_or(self.last_op, |at| at.last_op + ops.len() as u64);
         // Records stand at the last operation: with one that comes later in
         // another part they would not fit.
-        let (records, complete) = match n == self.n {
+        let (records, complete) = match n == self.last_op {
             true => self.records_after(from.as_ref().map(|at| &at.last_id)),
             false => (Vec::new(), false),
         };
         let known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.last_id);
         let ops = ops.into_iter().filter(known).collect();
-        CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next, complete }
+        CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next_seq, complete }
     }
 
     /// Operations since the one numbered `n`, as many as are sent at once.
     fn ops_since(&self, n: u64) -> Option<Vec<PartitionOp>> {
-        match &self.own {
-            _ if n == self.n => Some(Vec::new()),
-            Some(own) if n < self.n => own.ops_from(n + 1, self.n),
+        match &self.leader_state {
+            _ if n == self.last_op => Some(Vec::new()),
+            Some(own) if n < self.last_op => own.retained_ops_from(n + 1, self.last_op),
             _ => None,
         }
     }
@@ -146,12 +148,12 @@
     /// The next records by name, and whether none follow.
     fn records_after(&self, after: Option<&MessageId>) -> (Vec<(MessageHeader, Stage)>, bool) {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut rest = self.recs.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
+        let mut rest = self.records.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
         let mut records = Vec::new();
         let mut size = 0;
         while let Some(record) = rest.next_if(|_| records.len() < RECORDS_AT_ONCE && size < RECORD_BYTES_AT_ONCE) {
-            size += record_size(&record.head);
-            records.push((record.head.clone(), record.stage));
+            size += record_size(&record.header);
+            records.push((record.header.clone(), record.stage));
         }
         (records, rest.peek().is_none())
     }
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -47,7 +47,7 @@
         let Some(Departure { since, seats }) = self.departure else { return };
         self.shed_all(now);
         let waited = now.since(since);
-        let idle = self.parts.values().all(|part| part.own.is_none());
+        let idle = self.parts.values().all(|part| part.leader_state.is_none());
         let answered = waited >= ANSWERS_UNDER_WAY && !self.link.due(now);
         let kept = self.kept_elsewhere() || waited > UNANSWERED;
         let free = match seats {
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -37,12 +37,12 @@
         let spared: Vec<PartitionId> = self
             .parts
             .iter()
-            .filter(|(_, part)| part.own.as_ref().is_some_and(|own| self.spares_this_store(&own.set)))
+            .filter(|(_, part)| part.leader_state.as_ref().is_some_and(|own| self.spares_this_store(&own.write_set)))
             .map(|(place, _)| place.clone())
             .collect();
         for place in spared {
-            if let Some(own) = self.parts.get_mut(&place).and_then(|part| part.own.as_mut()) {
-                own.shed.get_or_insert(now);
+            if let Some(own) = self.parts.get_mut(&place).and_then(|part| part.leader_state.as_mut()) {
+                own.releasing_since.get_or_insert(now);
             }
         }
     }
@@ -52,6 +52,6 @@
     /// is still live for one given up.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
         let leads = self.link.held.live(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
-        self.gives_up_partitions(now) && !leads && self.parts.values().all(|part| part.own.is_none())
+        self.gives_up_partitions(now) && !leads && self.parts.values().all(|part| part.leader_state.is_none())
     }
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -88,13 +88,17 @@
     fn life_over(&mut self, from: &Daemon, life: IncarnationId, now: Time) {
         let mut over = Vec::new();
         for (place, p) in &self.parts {
-            let Some(own) = p.own.as_ref() else { continue };
-            let gone = own.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != life);
-            over.extend(gone.filter_map(|(seq, _)| Some((place.clone(), *seq, own.lane.ids.get(seq)?.clone()))));
+            let Some(own) = p.leader_state.as_ref() else { continue };
+            let gone = own
+                .queues
+                .in_flight
+                .iter()
+                .filter(|(_, f)| f.delivery == *from && f.destination.is_some() && f.incarnation != life);
+            over.extend(gone.filter_map(|(seq, _)| Some((place.clone(), *seq, own.queues.ids.get(seq)?.clone()))));
         }
         for (place, seq, id) in over {
-            if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.own.as_mut()) {
-                own.lane.flights.remove(&seq);
+            if let Some(own) = self.parts.get_mut(&place).and_then(|p| p.leader_state.as_mut()) {
+                own.queues.in_flight.remove(&seq);
             }
             self.post_back(&place, &id, AttemptOutcome::Unknown, now);
         }
@@ -107,25 +111,26 @@
         let all: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         for (place, epoch) in places {
             let Some(p) = self.parts.get_mut(place) else { continue };
-            let Some(own) = p.own.as_mut() else { continue };
-            if own.epoch != *epoch || own.phase != Phase::Serving || own.quiet <= now {
+            let Some(own) = p.leader_state.as_mut() else { continue };
+            if own.epoch != *epoch || own.phase != Phase::Serving || own.hold_until <= now {
                 continue;
             }
-            let held = holding.iter().filter(|h| h.partition == *place).filter_map(|h| p.recs.get(&h.id)).map(|r| r.head.seq);
-            own.vouched.insert(from.clone(), held.collect());
-            if !all.iter().all(|d| own.vouched.contains_key(*d)) {
+            let held =
+                holding.iter().filter(|h| h.partition == *place).filter_map(|h| p.records.get(&h.id)).map(|r| r.header.seq);
+            own.reported_in_flight.insert(from.clone(), held.collect());
+            if !all.iter().all(|d| own.reported_in_flight.contains_key(*d)) {
                 continue;
             }
-            let held: BTreeSet<u64> = own.vouched.values().flatten().copied().collect();
-            let quiet = own.quiet;
-            for due in own.lane.posts.values_mut() {
+            let held: BTreeSet<u64> = own.reported_in_flight.values().flatten().copied().collect();
+            let quiet = own.hold_until;
+            for due in own.queues.routed.values_mut() {
                 let over = |one: &(Time, u64)| one.0 == quiet && !held.contains(&one.1);
                 let over: Vec<u64> = due.iter().filter(over).map(|one| one.1).collect();
                 for seq in over {
-                    due.put_off(seq, now);
+                    due.reschedule(seq, now);
                 }
             }
-            for set in own.lane.calls.values_mut() {
+            for set in own.queues.callbacks.values_mut() {
                 let rest: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !held.contains(s)).map(|x| x.1).collect();
                 for seq in rest {
                     set.remove(&(quiet, seq));
@@ -148,22 +153,22 @@
         let mut out: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
         let mut goals: BTreeMap<Destination, Vec<Line>> = BTreeMap::new();
         for (place, p) in &self.parts {
-            let Some(own) = p.own.as_ref() else { continue };
-            for f in own.lane.flights.values() {
-                if let Some(g) = &f.goal {
-                    *out.entry((g.clone(), f.to.clone())).or_default() += 1;
+            let Some(own) = p.leader_state.as_ref() else { continue };
+            for f in own.queues.in_flight.values() {
+                if let Some(g) = &f.destination {
+                    *out.entry((g.clone(), f.delivery.clone())).or_default() += 1;
                 }
             }
-            if own.shed.is_some() || !self.link.rules.spooled(place) || !self.serving(place, now) {
+            if own.releasing_since.is_some() || !self.link.rules.spooled(place) || !self.serving(place, now) {
                 continue;
             }
-            for (name, due) in &own.lane.posts {
-                let Some(first) = due.oldest(now) else { continue };
+            for (name, due) in &own.queues.routed {
+                let Some(first) = due.oldest_ready(now) else { continue };
                 let Some(route) = self.link.rules.routes.get(name) else { continue };
                 let line = Line { priority: route.priority, first, place: place.clone(), name: name.clone() };
                 goals.entry(Destination::Service(route.service.clone())).or_default().push(line);
             }
-            for (desk, set) in &own.lane.calls {
+            for (desk, set) in &own.queues.callbacks {
                 let Some((first, _)) = set.first().filter(|f| f.0 <= now) else { continue };
                 let line = Line { priority: 0, first: *first, place: place.clone(), name: desk.clone() };
                 goals.entry(Destination::Address(desk.clone())).or_default().push(line);
@@ -227,25 +232,25 @@
         let mut later = 0;
         loop {
             let p = self.parts.get_mut(place)?;
-            let own = p.own.as_mut()?;
+            let own = p.leader_state.as_mut()?;
             let (due, seq) = match call {
-                true => own.lane.pop(Some(&line.name), now)?,
-                false => match (own.lane.posts.get_mut(&line.name)?, oldest) {
+                true => own.queues.pop_due(Some(&line.name), now)?,
+                false => match (own.queues.routed.get_mut(&line.name)?, oldest) {
                     (due, true) => due.pop_oldest(now)?,
-                    (due, false) => due.pop_fresh(fresh, now)?,
+                    (due, false) => due.pop_in_time(fresh, now)?,
                 },
             };
-            let Some(r) = own.lane.ids.get(&seq).and_then(|id| p.recs.get(id)) else { continue };
-            let id = r.head.id.clone();
-            if own.won.contains(&seq) {
+            let Some(r) = own.queues.ids.get(&seq).and_then(|id| p.records.get(id)) else { continue };
+            let id = r.header.id.clone();
+            if own.unpublished_successes.contains(&seq) {
                 self.settle_won(place, &id, now);
                 continue;
             }
             if !self.may_hand_out(place, &id, call) {
                 continue;
             }
-            let r = self.parts.get(place)?.recs.get(&id)?;
-            if !call && worth.is_some_and(|w| now.since(r.taken) > w) {
+            let r = self.parts.get(place)?.records.get(&id)?;
+            if !call && worth.is_some_and(|w| now.since(r.received_at) > w) {
                 let next = ended(r, Outcome::Expired);
                 self.stage(place, &id, next, None, now);
                 continue;
@@ -254,8 +259,8 @@
                 Ok(x) => x,
                 Err(bad) => {
                     let part = self.parts.get_mut(place)?;
-                    let key = part.recs.get(&id).map(|r| r.head.key.clone()).unwrap_or_default();
-                    part.own.as_mut()?.lane.post(&line.name, &key, now + READ, seq);
+                    let key = part.records.get(&id).map(|r| r.header.key.clone()).unwrap_or_default();
+                    part.leader_state.as_mut()?.queues.enqueue_routed(&line.name, &key, now + READ, seq);
                     if bad {
                         self.found_bad(place, &id, now);
                         continue;
@@ -269,21 +274,21 @@
                 }
             };
             let p = self.parts.get_mut(place)?;
-            let stage = p.recs.get(&id)?.stage;
-            let own = p.own.as_mut()?;
-            own.attempts += 1;
-            let (epoch, attempt_id) = (own.epoch, own.attempts);
+            let stage = p.records.get(&id)?.stage;
+            let own = p.leader_state.as_mut()?;
+            own.attempt_count += 1;
+            let (epoch, attempt_id) = (own.epoch, own.attempt_count);
             let duty = Duty::TargetShard(String::new());
-            let flight = Flight {
+            let flight = DispatchedAttempt {
                 duty: duty.clone(),
-                to: to.clone(),
+                delivery: to.clone(),
                 attempt: attempt_id,
-                owes: String::new(),
-                goal: Some(goal.clone()),
-                life,
-                end: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
+                callback: String::new(),
+                destination: Some(goal.clone()),
+                incarnation: life,
+                deadline: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
-            own.lane.flights.insert(seq, flight);
+            own.queues.in_flight.insert(seq, flight);
             let place = place.clone();
             return Some(Offer {
                 duty,
@@ -303,7 +308,7 @@
     /// none, and its head says so. `Err` when they are not at hand, and
     /// whether the copy here is bad.
     fn post_bytes(&mut self, place: &PartitionId, id: &MessageId, call: bool) -> Result<(MessageHeader, Bytes), bool> {
-        let head = self.parts.get(place).and_then(|p| p.recs.get(id)).map(|r| r.head.clone()).ok_or(true)?;
+        let head = self.parts.get(place).and_then(|p| p.records.get(id)).map(|r| r.header.clone()).ok_or(true)?;
         if call {
             return Ok((MessageHeader { len: 0, crc: crc32(b""), ..head }, Bytes::new()));
         }
@@ -316,7 +321,7 @@
 
     /// An attempt's hard end has passed without a word of it.
     pub(super) fn lapsed(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
-        let routed = self.parts.get(place).and_then(|p| p.recs.get(id)).is_some_and(|r| !r.head.route.is_empty());
+        let routed = self.parts.get(place).and_then(|p| p.records.get(id)).is_some_and(|r| !r.header.route.is_empty());
         match routed {
             true => self.post_back(place, id, AttemptOutcome::Unknown, now),
             false => self.back(place, id, true, now),
@@ -328,43 +333,43 @@
     pub(super) fn post_back(&mut self, place: &PartitionId, id: &MessageId, told: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
         let Some(p) = self.parts.get_mut(place) else { return };
-        let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get_mut(id)) else { return };
-        let seq = r.head.seq;
-        if own.won.contains(&seq) {
+        let (Some(own), Some(r)) = (p.leader_state.as_mut(), p.records.get_mut(id)) else { return };
+        let seq = r.header.seq;
+        if own.unpublished_successes.contains(&seq) {
             return self.settle_won(place, id, now);
         }
         let double = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
         match r.stage {
             Stage::Pending => {
-                let Some(route) = self.link.rules.routes.get(&r.head.route) else {
+                let Some(route) = self.link.rules.routes.get(&r.header.route) else {
                     let next = ended(r, Outcome::Expired);
                     return self.stage(place, id, next, None, now);
                 };
-                r.tries += u32::from(told == AttemptOutcome::Failed);
-                if r.tries >= route.attempts {
+                r.failed_attempts += u32::from(told == AttemptOutcome::Failed);
+                if r.failed_attempts >= route.attempts {
                     let next = ended(r, Outcome::GivenUp);
                     return self.stage(place, id, next, None, now);
                 }
                 let pause = match told {
-                    AttemptOutcome::Failed => double(FAILED_PAUSE, r.tries - 1, FAILED_PAUSE_MAX),
+                    AttemptOutcome::Failed => double(FAILED_PAUSE, r.failed_attempts - 1, FAILED_PAUSE_MAX),
                     AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
                     // A run that always goes past its time must not take a
                     // worker's slot again and again.
                     _ => {
-                        let pause = Span((DOUBT_PAUSE.0 << r.doubts.min(12)).min(DOUBT_PAUSE_MAX.0));
-                        r.doubts += 1;
+                        let pause = Span((DOUBT_PAUSE.0 << r.unknown_outcomes.min(12)).min(DOUBT_PAUSE_MAX.0));
+                        r.unknown_outcomes += 1;
                         pause
                     }
                 };
-                own.lane.post(&r.head.route, &r.head.key, now + pause, seq);
+                own.queues.enqueue_routed(&r.header.route, &r.header.key, now + pause, seq);
             }
             Stage::EndedAwaitingCallback(_) => {
                 let pause = match told {
                     AttemptOutcome::NotStarted => UNSTARTED_PAUSE,
-                    _ => double(CALL_PAUSE, r.tries, CALL_PAUSE_MAX),
+                    _ => double(CALL_PAUSE, r.failed_attempts, CALL_PAUSE_MAX),
                 };
-                r.tries += u32::from(told != AttemptOutcome::NotStarted);
-                own.lane.calls.entry(r.head.callback.clone()).or_default().insert((now + pause, seq));
+                r.failed_attempts += u32::from(told != AttemptOutcome::NotStarted);
+                own.queues.callbacks.entry(r.header.callback.clone()).or_default().insert((now + pause, seq));
             }
             Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
@@ -376,24 +381,24 @@
         let rules = &self.link.rules;
         let mut gone: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
         for (place, p) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.serving(k, now)) {
-            let Some(own) = p.own.as_ref() else { continue };
-            for (name, due) in &own.lane.posts {
+            let Some(own) = p.leader_state.as_ref() else { continue };
+            for (name, due) in &own.queues.routed {
                 let route = rules.routes.get(name);
                 for (_, seq) in due.iter() {
-                    let Some(r) = own.lane.ids.get(&seq).and_then(|id| p.recs.get(id)) else { continue };
+                    let Some(r) = own.queues.ids.get(&seq).and_then(|id| p.records.get(id)) else { continue };
                     // One whose success is kept back did not expire.
-                    let open = !own.won.contains(&seq) && !own.lane.rests(seq, own.quiet, now);
-                    if route.is_none_or(|x| now.since(r.taken) > x.worth) && open {
-                        gone.push((place.clone(), r.head.id.clone(), ended(r, Outcome::Expired)));
+                    let open = !own.unpublished_successes.contains(&seq) && !own.queues.is_held(seq, own.hold_until, now);
+                    if route.is_none_or(|x| now.since(r.received_at) > x.worth) && open {
+                        gone.push((place.clone(), r.header.id.clone(), ended(r, Outcome::Expired)));
                     }
                 }
             }
         }
         for (place, id, next) in gone {
             if let Some(p) = self.parts.get_mut(&place) {
-                let (Some(own), Some(r)) = (p.own.as_mut(), p.recs.get(&id)) else { continue };
-                if let Some(due) = own.lane.posts.get_mut(&r.head.route) {
-                    due.take(r.head.seq);
+                let (Some(own), Some(r)) = (p.leader_state.as_mut(), p.records.get(&id)) else { continue };
+                if let Some(due) = own.queues.routed.get_mut(&r.header.route) {
+                    due.remove(r.header.seq);
                 }
             }
             self.stage(&place, &id, next, None, now);
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -17,29 +17,33 @@
         for place in owned {
             self.lapse_overdue(&place, now);
             let Some(p) = self.parts.get_mut(&place) else { continue };
-            let Some(own) = p.own.as_mut() else { continue };
+            let Some(own) = p.leader_state.as_mut() else { continue };
             // Kept-back successes whose other attempts are over by now.
-            let (quiet, lane) = (own.quiet, &own.lane);
+            let (quiet, lane) = (own.hold_until, &own.queues);
             let sure: Vec<MessageId> = own
-                .won
+                .unpublished_successes
                 .iter()
-                .filter(|s| !lane.flights.contains_key(s) && !lane.rests(**s, quiet, now))
+                .filter(|s| !lane.in_flight.contains_key(s) && !lane.is_held(**s, quiet, now))
                 .filter_map(|s| lane.ids.get(s).cloned())
                 .collect();
             let mut drop = Vec::new();
             let mut old = Vec::new();
             let mut stranded = Vec::new();
-            for (id, r) in &p.recs {
+            for (id, r) in &p.records {
                 match r.stage {
-                    Stage::Ended(_) if retain > Span::ZERO && now.since(r.ended) > retain => drop.push(id.clone()),
+                    Stage::Ended(_) if retain > Span::ZERO && now.since(r.ended_at) > retain => drop.push(id.clone()),
                     Stage::Pending
-                        if r.head.ttl.is_some_and(|t| now.since(r.taken) > t)
-                            && !own.lane.flights.contains_key(&r.head.seq)
-                            && !own.won.contains(&r.head.seq) =>
+                        if r.header.ttl.is_some_and(|t| now.since(r.received_at) > t)
+                            && !own.queues.in_flight.contains_key(&r.header.seq)
+                            && !own.unpublished_successes.contains(&r.header.seq) =>
                     {
                         old.push(id.clone());
                     }
-                    Stage::Pending if !r.head.route.is_empty() && !own.shown.contains_key(id) && !own.lane.stands(&r.head) => {
+                    Stage::Pending
+                        if !r.header.route.is_empty()
+                            && !own.visible_stages.contains_key(id)
+                            && !own.queues.is_tracked(&r.header) =>
+                    {
                         stranded.push(id.clone());
                     }
                     _ => {}
@@ -71,12 +75,12 @@
         if retain == Span::ZERO {
             return;
         }
-        for (place, p) in self.parts.iter_mut().filter(|(_, p)| p.own.is_none() && p.fetch.is_none()) {
-            let past = |r: &Rec| matches!(r.stage, Stage::Ended(_)) && now.since(r.ended) > retain + FORGET;
-            let old: Vec<MessageId> = p.recs.iter().filter(|(_, r)| past(r)).map(|(id, _)| id.clone()).take(1000).collect();
+        for (place, p) in self.parts.iter_mut().filter(|(_, p)| p.leader_state.is_none() && p.copy_fetch.is_none()) {
+            let past = |r: &Record| matches!(r.stage, Stage::Ended(_)) && now.since(r.ended_at) > retain + FORGET;
+            let old: Vec<MessageId> = p.records.iter().filter(|(_, r)| past(r)).map(|(id, _)| id.clone()).take(1000).collect();
             for id in old {
-                self.held_bytes += p.drop(place, &id, &mut self.ledger);
-                self.ledger.push(Line::Op { place: place.clone(), n: p.n, op: PartitionOp::Remove(id) });
+                self.held_bytes += p.remove_record(place, &id, &mut self.ledger);
+                self.ledger.push(JournalEntry::Op { partition: place.clone(), number: p.last_op, op: PartitionOp::Remove(id) });
             }
         }
     }
@@ -111,19 +115,19 @@
     /// that it can go; what is not in memory is read back for the next time.
     fn clean(&mut self) {
         // A record's lines take some room beside its bytes.
-        let count: usize = self.parts.values().map(|p| p.recs.len()).sum();
+        let count: usize = self.parts.values().map(|p| p.records.len()).sum();
         let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
-        let Some((first, last)) = self.ledger.sparse(live) else { return };
+        let Some((first, last)) = self.ledger.sparse_segment(live) else { return };
         let (mut here, mut absent) = (Vec::new(), Vec::new());
         let mut size = 0;
         for (place, p) in &self.parts {
-            for r in p.recs.values().filter(|r| first <= r.home && r.home <= last) {
-                size += u64::from(r.head.len) + 256;
+            for r in p.records.values().filter(|r| first <= r.saved_in && r.saved_in <= last) {
+                size += u64::from(r.header.len) + 256;
                 if size > CLEAN {
                     break;
                 }
-                let set = if r.bytes().is_some() { &mut here } else { &mut absent };
-                set.push((place.clone(), r.head.id.clone()));
+                let set = if r.loaded_body().is_some() { &mut here } else { &mut absent };
+                set.push((place.clone(), r.header.id.clone()));
             }
         }
         for (place, id) in here {
--- a/crates/queue/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -84,8 +84,8 @@
                 _ => {}
             }
         }
-        let copies = self.core.parts.values().filter_map(|part| part.fetch.as_ref());
-        self.most = self.most.max(copies.map(|fetch| fetch.copy.brought()).sum());
+        let copies = self.core.parts.values().filter_map(|part| part.copy_fetch.as_ref());
+        self.most = self.most.max(copies.map(|fetch| fetch.copy.received_bytes()).sum());
     }
 
     fn hear(&mut self, msg: PeerMessage) {
@@ -107,7 +107,7 @@
     }
 
     fn whole(&self) -> Vec<u32> {
-        let is_whole = |part: &&u32| self.core.parts[&place(**part)].installed == EPOCH;
+        let is_whole = |part: &&u32| self.core.parts[&place(**part)].installed_epoch == EPOCH;
         (0..PARTITIONS).collect::<Vec<_>>().iter().filter(is_whole).copied().collect()
     }
 }
--- a/crates/queue/tests/copies.rs
+++ b/crates/queue/tests/copies.rs
@@ -66,7 +66,7 @@
         self.hear(PeerMessage::Append { partition: place(), epoch: EPOCH, first, ops: vec![op] });
     }
 
-    fn part(&self) -> &dw_queue::part::Part {
+    fn part(&self) -> &dw_queue::partition_replica::PartitionReplica {
         &self.core.parts[&place()]
     }
 }
@@ -91,9 +91,9 @@
     assert_eq!(replica.acknowledged.last(), Some(&3));
     replica.hear(PeerMessage::WholeCopy { partition: place(), epoch: EPOCH, snapshot: digest });
     let part = replica.part();
-    assert_eq!(part.n, 3, "what was acknowledged is counted no more");
-    assert!(part.recs.contains_key(&MessageId("second".into())), "an accepted message is gone");
-    let first = &part.recs[&MessageId("first".into())];
+    assert_eq!(part.last_op, 3, "what was acknowledged is counted no more");
+    assert!(part.records.contains_key(&MessageId("second".into())), "an accepted message is gone");
+    let first = &part.records[&MessageId("first".into())];
     assert_eq!(first.stage, Stage::Ended(Outcome::Succeeded), "a success is forgotten");
 }
 
--- a/crates/queue/tests/disk_stuck.rs
+++ b/crates/queue/tests/disk_stuck.rs
@@ -13,7 +13,7 @@
     fleet.stick(1);
     fleet.carry(2, 1);
     assert!(matches!(fleet.told.get(&2), Some(SubmitOutcome::Rejected { code: 503, .. })), "{:?}", fleet.told);
-    assert!(!fleet.stores[&store(1)].parts[&place()].recs.contains_key(&MessageId("m2".into())));
+    assert!(!fleet.stores[&store(1)].parts[&place()].records.contains_key(&MessageId("m2".into())));
     fleet.free(1);
     fleet.carry(3, 1);
     assert!(fleet.accepted(3), "{:?}", fleet.told);
@@ -32,7 +32,7 @@
     fleet.carry(2, 2);
     fleet.run(Span::secs(1));
     assert!(fleet.accepted(2), "{:?}", fleet.told);
-    assert!(fleet.stores[&store(2)].parts[&place()].recs.contains_key(&MessageId("m1".into())));
+    assert!(fleet.stores[&store(2)].parts[&place()].records.contains_key(&MessageId("m1".into())));
     fleet.free(1);
     fleet.run(Span::secs(1));
     assert!(!fleet.reports[&store(1)].leaving);
@@ -68,7 +68,7 @@
 #[test]
 fn a_torn_file_empties_the_folder_only_after_the_new_mark_is_saved() {
     let torn = ("lines-0000000000000002-0000000000000002".to_string(), Bytes::new());
-    let line = vec![Line::Mark(IncarnationId(5))];
+    let line = vec![JournalEntry::DiskId(IncarnationId(5))];
     let whole = ("lines-0000000000000001-0000000000000001".to_string(), Bytes::from(encode(&line)));
     let (store, out) = Store::new(settings_of(1), &vec![whole, torn], IncarnationId(9), Time::millis(1));
     assert_eq!(store.mark, IncarnationId(9));
@@ -98,9 +98,9 @@
         }
         assert!(fleet.now < Time(10_000_000), "it copied from nobody");
     }
-    let source = fleet.stores[&store(third)].parts[&place()].fetch.as_ref().unwrap().from.clone();
+    let source = fleet.stores[&store(third)].parts[&place()].copy_fetch.as_ref().unwrap().source.clone();
     fleet.stores.remove(&source);
     fleet.run(Span::secs(4));
     assert_eq!(fleet.phase(third), Some(Phase::Serving));
-    assert!(fleet.stores[&store(third)].parts[&place()].recs.contains_key(&MessageId("m1".into())));
+    assert!(fleet.stores[&store(third)].parts[&place()].records.contains_key(&MessageId("m1".into())));
 }
--- a/crates/queue/tests/hand_over.rs
+++ b/crates/queue/tests/hand_over.rs
@@ -18,7 +18,7 @@
     fleet.epoch += 1;
     fleet.run(OPENS);
     assert_eq!(fleet.phase(n), Some(Phase::Serving));
-    assert!(fleet.own(n).unwrap().quiet > fleet.now, "it does not rest");
+    assert!(fleet.own(n).unwrap().hold_until > fleet.now, "it does not rest");
 }
 
 /// A delivery tells store `n` that attempt 1 of the first leader succeeded.
@@ -41,7 +41,7 @@
 }
 
 fn stage_at(fleet: &Fleet, n: u64) -> Stage {
-    fleet.stores[&store(n)].parts[&place()].recs[&id()].stage
+    fleet.stores[&store(n)].parts[&place()].records[&id()].stage
 }
 
 /// The stage that callers are shown by store `n`.
@@ -76,7 +76,7 @@
     tell_success(&mut fleet, 2);
     assert_eq!(fleet.noted, [(daemon("delivery-1"), 1)]);
     assert_eq!(shown_by(&mut fleet, 2), Stage::Pending);
-    let rest = fleet.own(2).unwrap().quiet.since(fleet.now);
+    let rest = fleet.own(2).unwrap().hold_until.since(fleet.now);
     fleet.run(rest + Span::millis(1500));
     assert_eq!(shown_by(&mut fleet, 2), Stage::Ended(Outcome::Succeeded));
 }
--- a/crates/queue/tests/loaded/mod.rs
+++ b/crates/queue/tests/loaded/mod.rs
@@ -93,7 +93,7 @@
         }
         all.set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
-        let own = all.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        let own = all.cores[&daemon(LEADER)].parts[&place()].leader_state.as_ref().expect("a leader");
         all.replica = own.backups.keys().next().expect("a replica").clone();
         for _ in 0..count {
             all.hand_in();
@@ -126,7 +126,7 @@
 
     /// Which peers get every operation of the leader.
     pub fn backups(&self) -> Vec<Daemon> {
-        let own = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader");
+        let own = self.cores[&daemon(LEADER)].parts[&place()].leader_state.as_ref().expect("a leader");
         own.backups.keys().cloned().collect()
     }
 
@@ -144,7 +144,7 @@
     /// The fewest stores that hold a message that was accepted, and the fewest
     /// zones in which they stand.
     pub fn fewest_holders(&self) -> (usize, usize) {
-        let holds = |id: &MessageId, core: &Store| core.parts.get(&place()).is_some_and(|part| part.recs.contains_key(id));
+        let holds = |id: &MessageId, core: &Store| core.parts.get(&place()).is_some_and(|part| part.records.contains_key(id));
         let holders = |id: &MessageId| -> Vec<String> {
             let all = self.cores.iter().filter(|(_, core)| holds(id, core));
             all.map(|(store, _)| self.zone_of(store.as_str())).collect()
@@ -195,7 +195,7 @@
         self.queue.clear();
         let id = self.under_way.pop_front().expect("one under way").header.id;
         for core in self.cores.values_mut() {
-            let Some(record) = core.parts.get_mut(&place()).and_then(|part| part.recs.get_mut(&id)) else { continue };
+            let Some(record) = core.parts.get_mut(&place()).and_then(|part| part.records.get_mut(&id)) else { continue };
             record.body = Some(Bytes::from_static(b"altered"));
         }
     }
@@ -224,11 +224,11 @@
     /// By the leader's own word: the copy counts, or may be counted.
     fn is_whole(&self) -> bool {
         let replica = &self.cores[&self.replica];
-        let Some(own) = self.cores[&daemon(LEADER)].parts[&place()].own.as_ref() else { return false };
-        let told = own.whole.get(&self.replica) == Some(&replica.mark);
-        let have = own.peers.get(&self.replica).and_then(|s| s.have);
-        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].parts[&place()].n);
-        level && (told || own.counts(&self.replica, replica.mark))
+        let Some(own) = self.cores[&daemon(LEADER)].parts[&place()].leader_state.as_ref() else { return false };
+        let told = own.complete_copies.get(&self.replica) == Some(&replica.mark);
+        let have = own.peers.get(&self.replica).and_then(|s| s.synced_op);
+        let level = have.is_some_and(|have| have + 200 >= self.cores[&daemon(LEADER)].parts[&place()].last_op);
+        level && (told || own.is_counted(&self.replica, replica.mark))
     }
 
     pub fn notes_of(&self, note: LogEvent) -> usize {
@@ -244,7 +244,7 @@
         self.run(Span::secs(3));
         let records = |name: &str| -> Vec<(MessageHeader, Stage, Option<Bytes>)> {
             let part = &self.cores[&daemon(name)].parts[&place()];
-            part.recs.values().map(|r| (r.head.clone(), r.stage, r.bytes())).collect()
+            part.records.values().map(|r| (r.header.clone(), r.stage, r.loaded_body())).collect()
         };
         let (kept, copied) = (records(LEADER), records(self.replica.as_str()));
         assert_eq!(kept.len(), copied.len());
--- a/crates/queue/tests/released.rs
+++ b/crates/queue/tests/released.rs
@@ -40,8 +40,8 @@
     );
 }
 
-fn record(pair: &Pair, at: usize) -> &Rec {
-    &pair.stores[at].parts[&place()].recs[&id()]
+fn record(pair: &Pair, at: usize) -> &Record {
+    &pair.stores[at].parts[&place()].records[&id()]
 }
 
 #[test]
@@ -53,7 +53,10 @@
         assert_eq!(pair.stores[at].held_bytes, 0, "store {at}");
         let record = record(&pair, at);
         assert_eq!(record.stage, Stage::Ended(Outcome::Succeeded));
-        assert_eq!((record.head.len, &record.head.caller_request, record.head.completion_token.as_str()), (0, &None, "seal"));
+        assert_eq!(
+            (record.header.len, &record.header.caller_request, record.header.completion_token.as_str()),
+            (0, &None, "seal")
+        );
     }
 }
 
@@ -81,7 +84,7 @@
 fn a_replica_that_copies_needs_no_bytes_of_what_was_done() {
     let mut pair = accepted();
     tell(&mut pair, AttemptOutcome::Success);
-    let digest = pair.stores[0].parts[&place()].digest();
+    let digest = pair.stores[0].parts[&place()].snapshot();
     let me = Member { disk_id: IncarnationId(3), ..member("store-3", "z3") };
     let (mut third, _) = Store::new(startup(me), &Vec::new(), IncarnationId(3), pair.now);
     let from = daemon("store-1");
@@ -98,14 +101,14 @@
     );
     let said = third.step(hear(PeerMessage::WholeCopy { partition: place(), epoch: epoch(), snapshot: digest }), pair.now);
     assert!(!said.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::FetchBodies { .. }))), "{said:?}");
-    assert_eq!(third.parts[&place()].recs[&id()].stage, Stage::Ended(Outcome::Succeeded));
+    assert_eq!(third.parts[&place()].records[&id()].stage, Stage::Ended(Outcome::Succeeded));
 }
 
 /// Another replica did not hear of the end: the bytes are had from there.
 #[test]
 fn a_replica_whose_success_did_not_count_gets_the_bytes_back() {
     let mut pair = accepted();
-    let before = pair.stores[0].parts[&place()].digest();
+    let before = pair.stores[0].parts[&place()].snapshot();
     tell(&mut pair, AttemptOutcome::Success);
     let next = Epoch { term: TERM, count: 2 };
     let from = daemon("store-9");
@@ -137,6 +140,6 @@
     let me = Member { disk_id: IncarnationId(1), ..member("store-1", "z1") };
     let (store, _) = Store::new(startup(me), &files, IncarnationId(8), pair.now);
     assert_eq!(store.held_bytes, 0);
-    let record = &store.parts[&place()].recs[&id()];
-    assert_eq!((record.stage, record.head.len), (Stage::Ended(Outcome::Succeeded), 0));
+    let record = &store.parts[&place()].records[&id()];
+    assert_eq!((record.stage, record.header.len), (Stage::Ended(Outcome::Succeeded), 0));
 }
--- a/crates/queue/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -85,7 +85,7 @@
         self.cores[&daemon(name)].mark
     }
     fn leader(&self) -> &LeaderState {
-        self.cores[&daemon(LEADER)].parts[&place()].own.as_ref().expect("a leader")
+        self.cores[&daemon(LEADER)].parts[&place()].leader_state.as_ref().expect("a leader")
     }
     fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
@@ -194,7 +194,7 @@
         self.report.replacement_numbers.contains(&(place(), number)) && self.report.complete_copies.contains(&whole)
     }
     fn has(&self, name: &str) -> usize {
-        self.cores[&daemon(name)].parts.get(&place()).map_or(0, |p| p.recs.len())
+        self.cores[&daemon(name)].parts.get(&place()).map_or(0, |p| p.records.len())
     }
     fn replace(&mut self, number: u64) {
         self.swap = Some((daemon(LEAVER), daemon(JOINER), number));
@@ -296,7 +296,7 @@
     s.cut.insert(daemon(LEAVER));
     s.epoch = 2;
     s.run(2_000);
-    assert_eq!(s.leader().phase, Phase::Spreading);
+    assert_eq!(s.leader().phase, Phase::AwaitingBackups);
     s
 }
 
--- a/crates/queue/tests/rest.rs
+++ b/crates/queue/tests/rest.rs
@@ -6,24 +6,24 @@
 #[test]
 fn the_rest_covers_the_longest_attempt_with_its_margin() {
     let mut longest = LongestAttempt::default();
-    longest.learn(Span::secs(4), NOW);
-    assert_eq!(longest.rest(NOW), Span::millis(4400));
+    longest.set_current(Span::secs(4), NOW);
+    assert_eq!(longest.failover_hold(NOW), Span::millis(4400));
 }
 
 #[test]
 fn a_shorter_attempt_counts_only_when_none_of_the_earlier_can_be_under_way() {
     let mut longest = LongestAttempt::default();
-    longest.learn(Span::secs(4), NOW);
-    longest.learn(Span::secs(2), NOW);
-    longest.learn(Span::secs(3), NOW + Span::secs(1));
-    assert_eq!(longest.rest(NOW + Span::millis(6900)), Span::millis(4400));
-    assert_eq!(longest.rest(NOW + Span::secs(7)), Span::millis(3300));
+    longest.set_current(Span::secs(4), NOW);
+    longest.set_current(Span::secs(2), NOW);
+    longest.set_current(Span::secs(3), NOW + Span::secs(1));
+    assert_eq!(longest.failover_hold(NOW + Span::millis(6900)), Span::millis(4400));
+    assert_eq!(longest.failover_hold(NOW + Span::secs(7)), Span::millis(3300));
 }
 
 #[test]
 fn a_longer_attempt_counts_at_once() {
     let mut longest = LongestAttempt::default();
-    longest.learn(Span::secs(2), NOW);
-    longest.learn(Span::secs(4), NOW);
-    assert_eq!(longest.rest(NOW), Span::millis(4400));
+    longest.set_current(Span::secs(2), NOW);
+    longest.set_current(Span::secs(4), NOW);
+    assert_eq!(longest.failover_hold(NOW), Span::millis(4400));
 }
--- a/crates/queue/tests/silent_backups.rs
+++ b/crates/queue/tests/silent_backups.rs
@@ -40,24 +40,24 @@
 #[test]
 fn one_that_is_slow_is_waited_for_by_its_own_measure() {
     let mut peer = PeerProgress::default();
-    peer.have = Some(0);
-    let patience = Patience { least: Span::millis(150), longest: Span::millis(480) };
+    peer.synced_op = Some(0);
+    let patience = SilenceLimits { min: Span::millis(150), max: Span::millis(480) };
     let mut now = Time::millis(10_000);
     for (upto, took) in [(1, 10), (2, 30), (3, 50)] {
-        peer.note_sent(upto, now);
+        peer.record_sent(upto, now);
         now += Span::millis(took);
-        peer.have = Some(upto);
-        peer.note_acknowledged(upto, now);
+        peer.synced_op = Some(upto);
+        peer.record_ack(upto, now);
     }
-    peer.note_sent(4, now);
-    assert!(peer.note_behind(4, now));
+    peer.record_sent(4, now);
+    assert!(peer.update_behind(4, now));
     assert!(!peer.is_silent(Time(0), patience, now + Span::millis(390)));
     assert!(peer.is_silent(Time(0), patience, now + Span::millis(410)));
     // One that copies the whole, or has shown nothing as a backup, has longest.
     let joined = now + Span::millis(1);
     assert!(!peer.is_silent(joined, patience, joined + Span::millis(470)));
     let mut copying = peer;
-    copying.have = None;
+    copying.synced_op = None;
     assert!(!copying.is_silent(Time(0), patience, now + Span::millis(470)));
     assert!(copying.is_silent(Time(0), patience, now + Span::millis(490)));
 }
@@ -67,16 +67,16 @@
 #[test]
 fn patience_grows_each_time_one_gives_way_and_comes_back() {
     let (longest, mut now) = (Span::millis(900), Time::millis(10_000));
-    let mut least = PatienceLeast::new(now);
-    let mut all = vec![least.now(now)];
+    let mut least = AdaptiveMinSilence::new(now);
+    let mut all = vec![least.current(now)];
     for _ in 0..4 {
         now += Span::millis(500);
-        least.note_given_way(longest, now);
-        all.push(least.now(now));
+        least.record_replacement(longest, now);
+        all.push(least.current(now));
     }
     assert_eq!(all, [150, 300, 600, 900, 900].map(Span::millis));
-    assert_eq!(least.now(now + Span::secs(10)), Span::millis(450));
-    assert_eq!(least.now(now + Span::secs(60)), Span::millis(150));
+    assert_eq!(least.current(now + Span::secs(10)), Span::millis(450));
+    assert_eq!(least.current(now + Span::secs(60)), Span::millis(150));
 }
 
 /// All peers answer late from some moment on, as under a load that is too
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -118,7 +118,7 @@
     }
 
     fn leader_states(&self) -> Vec<&LeaderState> {
-        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.own.as_ref()).collect()
+        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.leader_state.as_ref()).collect()
     }
 
     /// How many partitions have their second copy at each store.
--- a/crates/queue/tests/stranded.rs
+++ b/crates/queue/tests/stranded.rs
@@ -10,7 +10,7 @@
     pair.carry();
     pair.run(Span::millis(100));
     let part = pair.stores[0].parts.get_mut(&place()).unwrap();
-    part.own.as_mut().unwrap().lane.posts.clear();
+    part.leader_state.as_mut().unwrap().queues.routed.clear();
     pair.run(Span::millis(1200));
     assert_eq!(pair.stores[0].counts.stranded, 1);
     pair.reach(FIRST, pair.now);
--- a/crates/queue/tests/trio/mod.rs
+++ b/crates/queue/tests/trio/mod.rs
@@ -78,7 +78,7 @@
     }
 
     pub fn own(&self, n: u64) -> Option<&LeaderState> {
-        self.stores[&store(n)].parts.get(&place()).and_then(|part| part.own.as_ref())
+        self.stores[&store(n)].parts.get(&place()).and_then(|part| part.leader_state.as_ref())
     }
 
     pub fn phase(&self, n: u64) -> Option<Phase> {
