--- a/crates/queue/src/dispatch_queues.rs
+++ b/crates/queue/src/dispatch_queues.rs
@@ -1,115 +1,124 @@
-//! What is due to be handed out from one partition, in what order.
+//! The messages of one partition that wait to be dispatched, and the attempts that
+//! are in flight.
 use crate::prelude::*;
 
-/// An attempt handed to a delivery and not settled.
+/// An attempt that was sent to a delivery and has no result yet.
 #[derive(Clone, Debug)]
 pub struct DispatchedAttempt {
     pub duty: Duty,
     pub delivery: Daemon,
     pub attempt: u64,
-    /// The desk a success would owe a call-back to; empty for none.
+    /// The address that is called back after a success; empty for none.
     pub callback: String,
-    /// Where a routed message was sent to; none for a queue's own duty.
+    /// Where a routed message was sent; `None` for a message of a queue.
     pub destination: Option<Destination>,
-    /// The life of the delivery that has it: in another, it is over.
+    /// The incarnation of the delivery: once it restarts, the attempt is over.
     pub incarnation: IncarnationId,
-    /// After this, by the leader's clock, no socket of it is open.
+    /// After this, by the leader's clock, no connection of the attempt is open.
     pub deadline: Time,
 }
 
-/// Invariants: a seq stands in at most one of `line`, `posts`, `calls` and
-/// `flights`; with ordering, only the first seq of a key is in `line`, `posts`
-/// or `flights` as work, and the next is let in when the first has durably
-/// ended; a key belongs to one route, so the next goes where the first went.
+/// The dispatch state of one partition; messages are named by sequence number.
+///
+/// Invariants: a sequence number is in at most one of `unrouted`, `routed`,
+/// `callbacks` and `in_flight`; with ordering, only the first of a key is in
+/// `unrouted`, `routed` or, for its work, in `in_flight`, and the next is added when
+/// the end of the first is durable; a key belongs to one route, so the next of a key
+/// is added to the same queue as the first.
 #[derive(Default)]
 pub struct DispatchQueues {
+    /// Whether messages of one ordering key are dispatched one after the other.
     pub ordered: bool,
+    /// Messages of a queue, by the time before which they are not dispatched.
     pub unrouted: BTreeSet<(Time, u64)>,
     /// Routed messages, by route.
     pub routed: BTreeMap<String, RouteQueue>,
-    /// Since when a run is wanted of each routed message: it was handed in,
-    /// and its delay was over. None is handed out sooner, whoever lets it in.
+    /// When each routed message became eligible: it was accepted, and its delay was
+    /// over. None is dispatched sooner, whatever adds it to a queue.
     pub eligible_at: BTreeMap<u64, Time>,
+    /// Call-backs that are due or wait for a retry, by address.
     pub callbacks: BTreeMap<String, BTreeSet<(Time, u64)>>,
+    /// Messages whose work is not over, by ordering key.
     pub pending_by_key: BTreeMap<String, BTreeSet<u64>>,
     pub ids: BTreeMap<u64, MessageId>,
     pub in_flight: BTreeMap<u64, DispatchedAttempt>,
 }
 
 impl DispatchQueues {
-    /// Stands a routed message in its route's line, never before its delay.
-    pub fn enqueue_routed(&mut self, route: &str, key: &str, at: Time, seq: u64) {
-        let wanted = self.eligible_at.get(&seq).copied().unwrap_or(at);
-        let of_key = self.pending_by_key.get(key).map_or(0, BTreeSet::len);
-        let due = match self.routed.get_mut(route) {
-            Some(due) => due,
+    /// Adds a routed message to its route's queue, to be dispatched at `not_before` or,
+    /// if that is later, when its delay is over.
+    pub fn enqueue_routed(&mut self, route: &str, key: &str, not_before: Time, seq: u64) {
+        let eligible_at = self.eligible_at.get(&seq).copied().unwrap_or(not_before);
+        let key_backlog = self.pending_by_key.get(key).map_or(0, BTreeSet::len);
+        let queue = match self.routed.get_mut(route) {
+            Some(queue) => queue,
             None => self.routed.entry(route.to_string()).or_default(),
         };
-        due.insert(at, seq, wanted, of_key);
+        queue.insert(not_before, seq, eligible_at, key_backlog);
     }
-    /// One more or fewer of a key waits behind its first.
-    fn update_key_backlog(&mut self, head: &MessageHeader) {
-        let Some(key) = self.pending_by_key.get(&head.key) else { return };
-        let (Some(first), Some(due)) = (key.first(), self.routed.get_mut(&head.route)) else { return };
-        due.set_key_backlog(*first, key.len());
+    /// Tells the first message of a key how many of the key wait.
+    fn update_key_backlog(&mut self, header: &MessageHeader) {
+        let Some(key) = self.pending_by_key.get(&header.key) else { return };
+        let (Some(first), Some(queue)) = (key.first(), self.routed.get_mut(&header.route)) else { return };
+        queue.set_key_backlog(*first, key.len());
     }
-    /// Lets a record in at `at`.
-    pub fn enqueue(&mut self, head: &MessageHeader, stage: Stage, at: Time) {
+    /// Adds a record to the queue that fits its stage, to be dispatched at `not_before`.
+    pub fn enqueue(&mut self, header: &MessageHeader, stage: Stage, not_before: Time) {
         match stage {
             Stage::Ended(_) => return,
             Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_) => {
-                self.callbacks.entry(head.callback.clone()).or_default().insert((at, head.seq));
+                self.callbacks.entry(header.callback.clone()).or_default().insert((not_before, header.seq));
             }
-            Stage::Pending if !head.route.is_empty() => {
-                if !head.key.is_empty() {
-                    let key = self.pending_by_key.entry(head.key.clone()).or_default();
-                    key.insert(head.seq);
-                    if key.first() != Some(&head.seq) {
-                        self.ids.insert(head.seq, head.id.clone());
-                        return self.update_key_backlog(head);
+            Stage::Pending if !header.route.is_empty() => {
+                if !header.key.is_empty() {
+                    let key = self.pending_by_key.entry(header.key.clone()).or_default();
+                    key.insert(header.seq);
+                    if key.first() != Some(&header.seq) {
+                        self.ids.insert(header.seq, header.id.clone());
+                        return self.update_key_backlog(header);
                     }
                 }
-                self.enqueue_routed(&head.route, &head.key, at, head.seq);
+                self.enqueue_routed(&header.route, &header.key, not_before, header.seq);
             }
             Stage::Pending if self.ordered => {
-                let key = self.pending_by_key.entry(head.key.clone()).or_default();
-                key.insert(head.seq);
-                if key.first() == Some(&head.seq) {
-                    self.unrouted.insert((at, head.seq));
+                let key = self.pending_by_key.entry(header.key.clone()).or_default();
+                key.insert(header.seq);
+                if key.first() == Some(&header.seq) {
+                    self.unrouted.insert((not_before, header.seq));
                 }
             }
             Stage::Pending => {
-                self.unrouted.insert((at, head.seq));
+                self.unrouted.insert((not_before, header.seq));
             }
         }
-        self.ids.insert(head.seq, head.id.clone());
+        self.ids.insert(header.seq, header.id.clone());
     }
-    /// Takes a record out of every line that it may wait in.
-    pub fn dequeue(&mut self, head: &MessageHeader) {
-        match self.routed.get_mut(&head.route) {
-            Some(due) => _ = due.remove(head.seq),
-            None => self.unrouted.retain(|(_, seq)| *seq != head.seq),
+    /// Removes a record from every queue that it may wait in.
+    pub fn dequeue(&mut self, header: &MessageHeader) {
+        match self.routed.get_mut(&header.route) {
+            Some(queue) => _ = queue.remove(header.seq),
+            None => self.unrouted.retain(|(_, seq)| *seq != header.seq),
         }
-        if let Some(line) = self.callbacks.get_mut(&head.callback) {
-            line.retain(|(_, seq)| *seq != head.seq);
+        if let Some(callbacks) = self.callbacks.get_mut(&header.callback) {
+            callbacks.retain(|(_, seq)| *seq != header.seq);
         }
     }
-    /// Work on a record has durably ended: the next of its key may go. Said
-    /// again, as when its call-back has ended too, it lets nobody in: the next
-    /// may have ended meanwhile, and stands in no line only for that.
-    pub fn finish_work(&mut self, head: &MessageHeader, now: Time) {
-        self.in_flight.remove(&head.seq);
-        self.eligible_at.remove(&head.seq);
-        match self.routed.get_mut(&head.route) {
-            Some(due) => _ = due.remove(head.seq),
-            None if head.route.is_empty() => self.unrouted.retain(|(_, s)| *s != head.seq),
+    /// The end of the work on a record is durable: the next of its key is added to its
+    /// queue. A second call, as when its call-back has ended too, adds nothing: the
+    /// next may have ended meanwhile, and may be in no queue for just that reason.
+    pub fn finish_work(&mut self, header: &MessageHeader, now: Time) {
+        self.in_flight.remove(&header.seq);
+        self.eligible_at.remove(&header.seq);
+        match self.routed.get_mut(&header.route) {
+            Some(queue) => _ = queue.remove(header.seq),
+            None if header.route.is_empty() => self.unrouted.retain(|(_, s)| *s != header.seq),
             None => {}
         }
-        if !self.ordered || head.key.is_empty() {
+        if !self.ordered || header.key.is_empty() {
             return;
         }
-        let Some(key) = self.pending_by_key.get_mut(&head.key) else { return };
-        if !key.remove(&head.seq) {
+        let Some(key) = self.pending_by_key.get_mut(&header.key) else { return };
+        if !key.remove(&header.seq) {
             return;
         }
         match key.first() {
@@ -118,33 +127,35 @@
                 if self.in_flight.contains_key(&next) {
                     return;
                 }
-                match head.route.is_empty() {
+                match header.route.is_empty() {
                     true => _ = self.unrouted.insert((now, next)),
-                    // It may stand there already, resting.
-                    false if self.routed.get(&head.route).is_some_and(|d| d.not_before(next).is_some()) => {}
-                    false => self.enqueue_routed(&head.route, &head.key, now, next),
+                    // It may be in the queue already, held back after a failover.
+                    false if self.routed.get(&header.route).is_some_and(|d| d.not_before(next).is_some()) => {}
+                    false => self.enqueue_routed(&header.route, &header.key, now, next),
                 }
             }
             None => {
-                self.pending_by_key.remove(&head.key);
+                self.pending_by_key.remove(&header.key);
             }
         }
     }
-    /// Whether a routed message whose work is not over waits, is under way or
-    /// has another of its key before it.
-    pub fn is_tracked(&self, head: &MessageHeader) -> bool {
+    /// Whether a routed message whose work is not over waits in a queue, is in flight
+    /// or waits behind another of its key.
+    pub fn is_tracked(&self, header: &MessageHeader) -> bool {
         let behind_another =
-            || self.pending_by_key.get(&head.key).is_some_and(|k| k.contains(&head.seq) && k.first() != Some(&head.seq));
-        let waits = || self.routed.get(&head.route).is_some_and(|due| due.not_before(head.seq).is_some());
-        self.in_flight.contains_key(&head.seq) || waits() || (!head.key.is_empty() && behind_another())
+            || self.pending_by_key.get(&header.key).is_some_and(|k| k.contains(&header.seq) && k.first() != Some(&header.seq));
+        let is_waiting = || self.routed.get(&header.route).is_some_and(|queue| queue.not_before(header.seq).is_some());
+        self.in_flight.contains_key(&header.seq) || is_waiting() || (!header.key.is_empty() && behind_another())
     }
-    /// Whether an attempt from before the opening may still be under way.
-    pub fn is_held(&self, seq: u64, quiet: Time, now: Time) -> bool {
-        now < quiet
-            && (self.unrouted.contains(&(quiet, seq))
-                || self.routed.values().any(|d| d.not_before(seq) == Some(quiet))
-                || self.callbacks.values().any(|c| c.contains(&(quiet, seq))))
+    /// Whether a message is still held back after a failover, because an attempt of an
+    /// earlier leader may still be running.
+    pub fn is_held(&self, seq: u64, hold_until: Time, now: Time) -> bool {
+        now < hold_until
+            && (self.unrouted.contains(&(hold_until, seq))
+                || self.routed.values().any(|d| d.not_before(seq) == Some(hold_until))
+                || self.callbacks.values().any(|c| c.contains(&(hold_until, seq))))
     }
+    /// Removes a message that has ended.
     pub fn remove_message(&mut self, seq: u64) {
         self.ids.remove(&seq);
         self.in_flight.remove(&seq);
@@ -153,17 +164,19 @@
             set.retain(|(_, s)| *s != seq);
         }
     }
-    /// How many messages could be run now or are: one that waits for its next
-    /// try needs no slot yet. Counted no further than `most`.
-    pub fn slot_demand(&self, now: Time, most: usize) -> u64 {
-        let due = self.unrouted.range(..=(now, u64::MAX)).take(most).count();
-        let under_way = self.in_flight.values().filter(|f| matches!(f.duty, Duty::Deliver(_))).count();
-        (due + under_way) as u64
+    /// How many messages of a queue need a slot: those that are due and those that are
+    /// in flight. One that waits for its next try needs none yet. Counts at most `max`
+    /// due ones.
+    pub fn slot_demand(&self, now: Time, max: usize) -> u64 {
+        let due = self.unrouted.range(..=(now, u64::MAX)).take(max).count();
+        let in_flight = self.in_flight.values().filter(|f| matches!(f.duty, Duty::Deliver(_))).count();
+        (due + in_flight) as u64
     }
-    /// Takes the first that is due, and says since when it is.
-    pub fn pop_due(&mut self, desk: Option<&str>, now: Time) -> Option<(Time, u64)> {
-        let set = match desk {
-            Some(d) => self.callbacks.get_mut(d)?,
+    /// Removes the first that is due and returns since when it is: a call-back to this
+    /// address, or without one a message of a queue.
+    pub fn pop_due(&mut self, callback: Option<&str>, now: Time) -> Option<(Time, u64)> {
+        let set = match callback {
+            Some(address) => self.callbacks.get_mut(address)?,
             None => &mut self.unrouted,
         };
         let first = *set.first()?;
@@ -173,9 +186,9 @@
         set.remove(&first);
         Some(first)
     }
-    /// Takes out the attempts whose hard end has passed.
+    /// Removes and returns the attempts whose deadline has passed.
     pub fn take_overdue(&mut self, now: Time) -> BTreeMap<u64, DispatchedAttempt> {
-        let late: Vec<u64> = self.in_flight.iter().filter(|(_, f)| now >= f.deadline).map(|(seq, _)| *seq).collect();
-        late.into_iter().filter_map(|seq| Some((seq, self.in_flight.remove(&seq)?))).collect()
+        let overdue: Vec<u64> = self.in_flight.iter().filter(|(_, f)| now >= f.deadline).map(|(seq, _)| *seq).collect();
+        overdue.into_iter().filter_map(|seq| Some((seq, self.in_flight.remove(&seq)?))).collect()
     }
 }
--- a/crates/queue/src/journal.rs
+++ b/crates/queue/src/journal.rs
@@ -1,15 +1,15 @@
-//! The data folder of a store: group commit, one file for each version,
-//! and the folding of many small files into few.
+//! The journal in a store's data folder. Entries are saved by group commit, each
+//! save as one segment file; small segments are compacted into larger ones.
 use crate::prelude::*;
 
-/// One line of a file. Replaying all files in order gives the state back;
-/// every line may be replayed twice without harm.
+/// One entry of a segment. Replaying all segments in order restores the state;
+/// every entry may be replayed twice without harm.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum JournalEntry {
-    /// This folder's mark.
+    /// The id of this data folder.
     #[serde(rename = "Mark")]
     DiskId(IncarnationId),
-    /// A replica's whole standing in one partition.
+    /// The state of a replica of one partition, apart from its records.
     #[serde(rename = "Standing")]
     ReplicaState {
         #[serde(rename = "place")]
@@ -23,18 +23,21 @@
         #[serde(rename = "next")]
         next_seq: u64,
     },
+    /// The replica promises to accept nothing from epochs lower than this one.
     Promise {
         #[serde(rename = "place")]
         partition: PartitionId,
         epoch: Epoch,
     },
-    /// The replica adopts an epoch; its contents stay, its count starts anew.
+    /// The replica adopts an epoch: its contents stay, and its ops are numbered from
+    /// the beginning again.
     Adopt {
         #[serde(rename = "place")]
         partition: PartitionId,
         epoch: Epoch,
     },
-    /// The replica holds exactly these under this epoch.
+    /// The replica holds exactly these records under this epoch, each given with its
+    /// stage and sequence number.
     Install {
         #[serde(rename = "place")]
         partition: PartitionId,
@@ -46,7 +49,8 @@
         #[serde(rename = "keep")]
         records: Vec<(MessageId, Stage, u64)>,
     },
-    /// A body for an `Install` to come, or a record written again.
+    /// A record with its body: for an `Install` that follows, or because an older
+    /// segment is to be removed or the body was repaired.
     Body {
         #[serde(rename = "place")]
         partition: PartitionId,
@@ -55,6 +59,7 @@
         stage: Stage,
         body: Bytes,
     },
+    /// An operation, with its number under the installed epoch.
     Op {
         #[serde(rename = "place")]
         partition: PartitionId,
@@ -62,7 +67,8 @@
         number: u64,
         op: PartitionOp,
     },
-    /// The incremental checkpoint of grants: on each change, one line.
+    /// A grant was received, or is no longer valid: the incremental checkpoint of
+    /// grants.
     Grant {
         duty: Duty,
         epoch: Epoch,
@@ -71,37 +77,43 @@
     },
 }
 
-/// Files of one version range. Invariants: ranges never overlap once the
-/// inner ones are removed; files go oldest first, so whatever line refers to
-/// a record outlives the line that put it.
+/// A segment file, which holds the saves of one range of numbers. Invariants: ranges
+/// never overlap once the segments that a compacted one replaces are removed;
+/// segments are removed oldest first, so an entry that refers to a record outlives
+/// the entry that put the record.
 #[derive(Clone, Debug)]
 struct Segment {
     first: u64,
     last: u64,
+    /// Records whose body is in this segment.
     live_records: u64,
-    /// Bytes on disk.
+    /// Size on disk.
     bytes: u64,
 }
 
-/// Invariant: at most one save is under way; lines pushed meanwhile wait for
-/// the next, so a line's save number is known when it is pushed.
+/// The segments of a data folder, and the entries that are not saved yet.
+/// Invariant: at most one save is in progress; entries pushed meanwhile wait for the
+/// next one, so an entry's save number is known when it is pushed.
 pub struct Journal {
+    /// Entries for the next save.
     pending: Vec<JournalEntry>,
     segments: VecDeque<Segment>,
-    /// Version the next save gets; versions are the save numbers.
+    /// The number of the next save.
     next_save: u64,
+    /// The number of the last save that is synced.
     pub last_synced: u64,
     save_in_progress: bool,
-    /// Records put by lines not yet in a file.
+    /// Records put by entries that are not in a segment yet.
     unsaved_records: u64,
-    /// Where bodies of the latest saves came to stand, for the records.
+    /// Where the bodies of the latest saves are, to be noted in their records.
     pub body_locations: Vec<BodyLocation>,
-    /// Records dropped since the last fold, with their home.
+    /// Records removed since the last compaction, with the save that held their body.
     pub removed_records: Vec<(u64, PartitionId, MessageId)>,
+    /// How many small segments are compacted into one.
     pub compaction_threshold: usize,
 }
 
-/// Where a record's bytes came to stand: the file's range, and the offset.
+/// Where a record's body is: the range of saves of its segment, and the offset.
 pub struct BodyLocation {
     pub partition: PartitionId,
     pub id: MessageId,
@@ -110,13 +122,13 @@
     pub offset: u64,
 }
 
-/// Lines as one list, and where the bodies in it stand. A line that carries a
-/// body ends with it.
-fn encode_segment(lines: &[JournalEntry], first: u64, last: u64) -> (Vec<u8>, Vec<BodyLocation>) {
+/// Encodes entries as one list, and tells where the bodies are in it. The encoding
+/// of an entry with a body ends with the body.
+fn encode_segment(entries: &[JournalEntry], first: u64, last: u64) -> (Vec<u8>, Vec<BodyLocation>) {
     let mut out = Vec::with_capacity(1024);
-    let mut stood = Vec::new();
-    // The head of a list, as `ciborium` writes it for a whole `Vec`.
-    match lines.len() {
+    let mut locations = Vec::new();
+    // The CBOR array header, as `ciborium` writes it for a `Vec`.
+    match entries.len() {
         n @ 0..=23 => out.push(0x80 | n as u8),
         n @ 24..=0xff => out.extend([0x98, n as u8]),
         n @ 0x100..=0xffff => {
@@ -128,19 +140,25 @@
             out.extend((n as u32).to_be_bytes());
         }
     }
-    for line in lines {
-        out.extend(encode(line));
-        let (place, id, len) = match line {
-            JournalEntry::Op { partition: place, op: PartitionOp::Put(head, _, body), .. } => (place, &head.id, body.len()),
-            JournalEntry::Body { partition: place, header: head, body, .. } => (place, &head.id, body.len()),
+    for entry in entries {
+        out.extend(encode(entry));
+        let (partition, id, len) = match entry {
+            JournalEntry::Op { partition, op: PartitionOp::Put(head, _, body), .. } => (partition, &head.id, body.len()),
+            JournalEntry::Body { partition, header: head, body, .. } => (partition, &head.id, body.len()),
             _ => continue,
         };
-        stood.push(BodyLocation { partition: place.clone(), id: id.clone(), first, last, offset: (out.len() - len) as u64 });
+        locations.push(BodyLocation {
+            partition: partition.clone(),
+            id: id.clone(),
+            first,
+            last,
+            offset: (out.len() - len) as u64,
+        });
     }
-    (out, stood)
+    (out, locations)
 }
 
-/// How many bytes the head of a list takes, and how many items follow.
+/// The length of a CBOR array header in bytes, and how many items follow it.
 fn parse_array_header(b: &[u8]) -> Option<(usize, usize)> {
     let be = |n: usize| b.get(1..1 + n).map(|x| x.iter().fold(0usize, |a, c| a << 8 | usize::from(*c)));
     match *b.first()? {
@@ -152,20 +170,21 @@
     }
 }
 
-/// A file's lines, each with the offset of its end; `None` when it can't be
-/// read whole.
+/// Decodes a segment: its entries, each with the offset of its end; `None` when any
+/// part of it can't be read.
 pub fn decode_segment(bytes: &[u8]) -> Option<Vec<(u64, JournalEntry)>> {
-    let (head, count) = parse_array_header(bytes)?;
-    let mut rest = &bytes[head..];
+    let (header_len, count) = parse_array_header(bytes)?;
+    let mut rest = &bytes[header_len..];
     let mut out = Vec::with_capacity(count.min(4096));
     for _ in 0..count {
-        // Reading from a slice moves it on by what was read.
-        let line = ciborium::from_reader(&mut rest).ok()?;
-        out.push(((bytes.len() - rest.len()) as u64, line));
+        // Reading from a slice advances it past what was read.
+        let entry = ciborium::from_reader(&mut rest).ok()?;
+        out.push(((bytes.len() - rest.len()) as u64, entry));
     }
     Some(out)
 }
 
+/// The file name of the segment that holds these saves.
 pub fn segment_name(first: u64, last: u64) -> String {
     format!("lines-{first:016x}-{last:016x}")
 }
@@ -196,41 +215,42 @@
             compaction_threshold: 64,
         }
     }
-    /// Which of a folder's files to read, oldest first, and which stand
-    /// inside a folded one: a crash came before their removal.
+    /// The segments of a folder to replay, oldest first, and the files that a
+    /// compacted segment replaces: a crash prevented their removal.
     pub fn plan_replay(names: &[String]) -> (Vec<(u64, u64)>, Vec<String>) {
         let mut all: Vec<(u64, u64)> = names.iter().filter_map(|n| parse_segment_name(n)).collect();
         all.sort_by_key(|(f, l)| (*f, std::cmp::Reverse(*l)));
-        let (mut take, mut spare): (Vec<(u64, u64)>, Vec<String>) = Default::default();
+        let (mut to_replay, mut replaced): (Vec<(u64, u64)>, Vec<String>) = Default::default();
         for (first, last) in all {
-            match take.last().is_some_and(|f| last <= f.1) {
-                true => spare.push(segment_name(first, last)),
-                false => take.push((first, last)),
+            match to_replay.last().is_some_and(|f| last <= f.1) {
+                true => replaced.push(segment_name(first, last)),
+                false => to_replay.push((first, last)),
             }
         }
-        (take, spare)
+        (to_replay, replaced)
     }
-    /// A file read back joins; its lines come after this.
+    /// Adds a segment that was read back; the caller replays its entries afterwards.
     pub fn add_replayed_segment(&mut self, first: u64, last: u64, size: u64) {
         self.segments.push_back(Segment { first, last, live_records: 0, bytes: size });
         (self.next_save, self.last_synced) = (last + 1, last);
     }
 
-    /// Begins anew above the versions of files that are to be removed, so that
-    /// none of them is ever taken for part of a newer one.
+    /// An empty journal whose saves are numbered above those of files that are to be
+    /// removed, so that none of them is ever taken for part of a newer segment.
     pub fn empty_after(last: u64) -> Journal {
         Journal { next_save: last + 1, last_synced: last, ..Journal::new() }
     }
 
-    /// Pushes a line; gives the save number that makes it last.
-    pub fn push(&mut self, line: JournalEntry) -> u64 {
-        self.pending.push(line);
+    /// Adds an entry; returns the number of the save that will hold it.
+    pub fn push(&mut self, entry: JournalEntry) -> u64 {
+        self.pending.push(entry);
         self.next_save
     }
+    /// The number of the next save.
     pub fn next_save(&self) -> u64 {
         self.next_save
     }
-    /// The save number after which all pushed so far is synced.
+    /// The number of the save that holds the last entry pushed so far.
     pub fn last_pending_save(&self) -> u64 {
         if self.pending.is_empty() {
             return self.next_save - 1;
@@ -246,99 +266,101 @@
     fn small_segment_count(&self) -> usize {
         self.segments.iter().rev().take_while(|f| f.first == f.last).count()
     }
-    /// Whether the next save should fold the small files into one: there are
-    /// many, or their bodies, which stay in memory until then, are.
+    /// Whether the next save should compact the small segments into one: there are
+    /// many of them, or they are large; their bodies stay in memory until then.
     pub fn needs_compaction(&self) -> bool {
         let size = || self.segments.iter().rev().take_while(|f| f.first == f.last).map(|f| f.bytes).sum::<u64>();
         !self.save_in_progress
             && (self.small_segment_count() >= self.compaction_threshold
                 || (self.small_segment_count() >= 4 && size() > COMPACTION_BYTES))
     }
-    /// Bytes on disk.
+    /// The size of all segments.
     pub fn bytes_on_disk(&self) -> u64 {
         self.segments.iter().map(|f| f.bytes).sum()
     }
-    /// The name of the file that holds a home, once it is synced there.
-    pub fn synced_segment_of(&self, home: u64) -> Option<String> {
-        if home > self.last_synced || home >= self.first_unsynced() {
+    /// The name of the segment that holds a save, once it is synced.
+    pub fn synced_segment_of(&self, save: u64) -> Option<String> {
+        if save > self.last_synced || save >= self.first_unsynced() {
             return None;
         }
-        self.segments.iter().find(|f| f.first <= home && home <= f.last).map(|f| segment_name(f.first, f.last))
+        self.segments.iter().find(|f| f.first <= save && save <= f.last).map(|f| segment_name(f.first, f.last))
     }
-    /// First version that stands in no synced file, or in one that is being
-    /// folded into a file not synced yet.
+    /// The first save that is in no synced segment, or in one that is being compacted
+    /// into a segment that is not synced yet.
     pub fn first_unsynced(&self) -> u64 {
         match (self.save_in_progress, self.segments.back()) {
             (true, Some(file)) => file.first,
             _ => self.last_synced + 1,
         }
     }
-    /// First version of the small files.
+    /// The first save of the small segments.
     pub fn compaction_start(&self) -> u64 {
         let n = self.segments.len() - self.small_segment_count();
         self.segments.get(n).map_or(self.next_save, |f| f.first)
     }
-    /// Replaces the small files by these lines, and whatever is pending.
-    pub fn compact(&mut self, mut lines: Vec<JournalEntry>, out: &mut Vec<Effect>) {
+    /// Replaces the small segments by one with these entries and the pending ones.
+    pub fn compact(&mut self, mut entries: Vec<JournalEntry>, out: &mut Vec<Effect>) {
         let first = self.compaction_start();
-        lines.append(&mut self.pending);
-        let inner: Vec<String> =
+        entries.append(&mut self.pending);
+        let replaced: Vec<String> =
             self.segments.iter().filter(|f| f.first >= first).map(|f| segment_name(f.first, f.last)).collect();
-        let live = self.segments.iter().filter(|f| f.first >= first).map(|f| f.live_records).sum();
+        let live_records = self.segments.iter().filter(|f| f.first >= first).map(|f| f.live_records).sum();
         self.segments.retain(|f| f.first < first);
         self.removed_records.clear();
-        self.start_save(first, &lines, live, out);
-        out.extend(inner.into_iter().map(Effect::Remove));
+        self.start_save(first, &entries, live_records, out);
+        out.extend(replaced.into_iter().map(Effect::Remove));
     }
-    fn start_save(&mut self, first: u64, lines: &[JournalEntry], live: u64, out: &mut Vec<Effect>) {
+    fn start_save(&mut self, first: u64, entries: &[JournalEntry], live_records: u64, out: &mut Vec<Effect>) {
         let n = self.next_save;
         self.next_save += 1;
         self.save_in_progress = true;
-        let live = live + std::mem::take(&mut self.unsaved_records);
-        let (bytes, stood) = encode_segment(lines, first, n);
-        self.body_locations.extend(stood);
-        self.segments.push_back(Segment { first, last: n, live_records: live, bytes: bytes.len() as u64 });
+        let live_records = live_records + std::mem::take(&mut self.unsaved_records);
+        let (bytes, locations) = encode_segment(entries, first, n);
+        self.body_locations.extend(locations);
+        self.segments.push_back(Segment { first, last: n, live_records, bytes: bytes.len() as u64 });
         out.push(Effect::Save { n, name: segment_name(first, n), bytes: Bytes::from(bytes) });
     }
-    /// Saves what is pending unless a save is under way; true when it did.
+    /// Saves the pending entries unless a save is in progress; true when it did.
     pub fn flush(&mut self, out: &mut Vec<Effect>) -> bool {
         if self.save_in_progress || self.pending.is_empty() {
             return false;
         }
-        let lines = std::mem::take(&mut self.pending);
-        self.start_save(self.next_save, &lines, 0, out);
+        let entries = std::mem::take(&mut self.pending);
+        self.start_save(self.next_save, &entries, 0, out);
         true
     }
+    /// Records that a save is synced.
     pub fn finish_save(&mut self, n: u64) {
         self.last_synced = self.last_synced.max(n);
         self.save_in_progress = false;
     }
-    /// A record's bytes came to stand in the file of this version.
-    pub fn add_live_record(&mut self, home: u64) {
-        if home >= self.next_save {
+    /// Counts a record whose body is in this save.
+    pub fn add_live_record(&mut self, save: u64) {
+        if save >= self.next_save {
             self.unsaved_records += 1;
             return;
         }
-        if let Some(f) = self.segments.iter_mut().find(|f| f.first <= home && home <= f.last) {
+        if let Some(f) = self.segments.iter_mut().find(|f| f.first <= save && save <= f.last) {
             f.live_records += 1;
         }
     }
-    pub fn remove_live_record(&mut self, home: u64) {
-        if home >= self.next_save {
+    /// No longer counts a record whose body is in this save.
+    pub fn remove_live_record(&mut self, save: u64) {
+        if save >= self.next_save {
             self.unsaved_records = self.unsaved_records.saturating_sub(1);
             return;
         }
-        if let Some(f) = self.segments.iter_mut().find(|f| f.first <= home && home <= f.last) {
+        if let Some(f) = self.segments.iter_mut().find(|f| f.first <= save && save <= f.last) {
             f.live_records = f.live_records.saturating_sub(1);
         }
     }
-    /// Removes the oldest file if nothing lives in it. To be called right
-    /// after a save was issued, which makes durable what empties the file.
-    /// Only one file goes after each save: the next save syncs its removal,
-    /// and before that no newer one may go. Else a loss of power could bring
-    /// back a record without the later file that says it was dropped.
+    /// Removes the oldest segment if it holds no live record. To be called right after
+    /// a save was started, which makes durable whatever emptied the segment. Only one
+    /// segment is removed after each save: the next save syncs its removal, and no
+    /// newer one may be removed before that. Otherwise a loss of power could bring a
+    /// record back without the later segment that says it was removed.
     pub fn remove_empty_segment(&mut self, out: &mut Vec<Effect>) {
-        // Standing lines are in the newest folded file; never the last one goes.
+        // The newest compacted segment holds the replicas' states: it always stays.
         if self.segments.iter().filter(|f| f.first < f.last).count() < 2 {
             return;
         }
@@ -347,17 +369,18 @@
             out.push(Effect::Remove(segment_name(f.first, f.last)));
         }
     }
-    /// The oldest file, when what lives in it should be written again: few
-    /// records live in it, or the folder is over twice what lives in all.
+    /// The oldest segment, when its live records should be written again so that it can
+    /// be removed: it holds few, or the folder is more than twice the size of all live
+    /// records.
     pub fn sparse_segment(&self, live_bytes: u64) -> Option<(u64, u64)> {
         let f = self.segments.front()?;
         let few = self.segments.len() > self.compaction_threshold + 48 && f.live_records < 200;
-        let wide = self.bytes_on_disk() > live_bytes * 2 + MAX_EXTRA_BYTES;
-        (f.first < f.last && f.live_records > 0 && (few || wide)).then_some((f.first, f.last))
+        let too_large = self.bytes_on_disk() > live_bytes * 2 + MAX_EXTRA_BYTES;
+        (f.first < f.last && f.live_records > 0 && (few || too_large)).then_some((f.first, f.last))
     }
 }
 
-/// Small files are folded when they hold more than this.
+/// Small segments are compacted when they hold more than this.
 const COMPACTION_BYTES: u64 = 4 << 20;
-/// The folder may always be so much larger than what lives in it.
+/// The folder may always be this much larger than its live records.
 const MAX_EXTRA_BYTES: u64 = 1 << 20;
--- a/crates/queue/src/overdue_attempts.rs
+++ b/crates/queue/src/overdue_attempts.rs
@@ -1,25 +1,25 @@
-//! Whether attempts end when their leader counts on it. A leader that heard
-//! nothing of an attempt hands its message out again after the attempt's end;
-//! that is safe only if no run of it goes on beyond that end.
+//! Checks that attempts end by the deadline that their leader relies on. A leader
+//! that receives no result of an attempt dispatches the message again after the
+//! deadline; that is safe only if the earlier attempt is no longer running then.
 use crate::prelude::*;
 
-/// Attempts remembered after their end, and successes judged, at most.
+/// Most overdue attempts, and most classified successes, that are kept.
 const MAX_TRACKED_ATTEMPTS: usize = 4096;
 
-/// What a success of an attempt that was taken for over shows.
+/// What the success of an attempt shows that was already considered over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateSuccess {
-    /// It ended in time and was told late.
+    /// It ended before its deadline, but was reported late.
     ReportedLate { by: Span },
-    /// It ran on beyond the end that its leader had set.
+    /// It was still running after the deadline that its leader had set.
     EndedAfterDeadline { by: Span },
-    /// It was handed out by an earlier leader, and ran on beyond the rest that
-    /// its records were given when this one opened.
+    /// It was dispatched by an earlier leader, and was still running after the time
+    /// until which this leader held inherited messages back.
     EndedAfterHold { by: Span },
 }
 
 impl LateSuccess {
-    /// Whether an attempt did not end when it had to.
+    /// Whether the attempt was still running after its time limit.
     pub fn is_violation(self) -> bool {
         !matches!(self, LateSuccess::ReportedLate { .. })
     }
@@ -28,53 +28,56 @@
 impl std::fmt::Display for LateSuccess {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            LateSuccess::ReportedLate { by } => write!(f, "told {} ms after the attempt's end", by.as_millis()),
-            LateSuccess::EndedAfterDeadline { by } => write!(f, "ended {} ms after the attempt's end", by.as_millis()),
-            LateSuccess::EndedAfterHold { by } => write!(f, "ended {} ms after the rest at the opening", by.as_millis()),
+            LateSuccess::ReportedLate { by } => write!(f, "reported {} ms after the attempt's deadline", by.as_millis()),
+            LateSuccess::EndedAfterDeadline { by } => write!(f, "ended {} ms after the attempt's deadline", by.as_millis()),
+            LateSuccess::EndedAfterHold { by } => write!(f, "ended {} ms after the hold on inherited messages", by.as_millis()),
         }
     }
 }
 
-/// The attempts of one leader's epoch that passed their end without a word.
-/// Invariants: of each attempt a success is judged once; both are bounded.
+/// The attempts of one leader's epoch whose deadline passed without a result.
+/// Invariants: the success of an attempt is classified once; both collections are
+/// bounded.
 #[derive(Debug, Default)]
 pub struct OverdueAttempts {
+    /// Deadlines of the overdue attempts, by attempt.
     deadlines: BTreeMap<u64, Time>,
+    /// Attempts of earlier epochs whose success was classified.
     classified: BTreeSet<(Epoch, u64)>,
 }
 
 impl OverdueAttempts {
-    /// An attempt of this epoch passed its end without a word.
-    pub fn record_overdue(&mut self, attempt: u64, end: Time) {
-        self.deadlines.insert(attempt, end);
+    /// Records that the deadline of an attempt of this epoch passed without a result.
+    pub fn record_overdue(&mut self, attempt: u64, deadline: Time) {
+        self.deadlines.insert(attempt, deadline);
         if self.deadlines.len() > MAX_TRACKED_ATTEMPTS {
             self.deadlines.pop_first();
         }
     }
 
-    /// Judges a success, told at `now`, of an attempt that is not under way by
-    /// the leader's own account. `epoch` and `rest` are the leader's; `unread`
-    /// is how long the word may have waited to be read here.
+    /// Classifies a success, reported at `now`, of an attempt that this leader does
+    /// not list as in flight. `epoch` and `hold_until` are the leader's; `read_delay`
+    /// is how long the report may have waited unread in this process.
     pub fn classify_success(
         &mut self,
-        told: &AttemptResult,
+        result: &AttemptResult,
         epoch: Epoch,
-        rest: Time,
-        unread: Span,
+        hold_until: Time,
+        read_delay: Span,
         now: Time,
     ) -> Option<LateSuccess> {
-        let ended = Time(now.0.saturating_sub(told.ended_ago.0 + unread.0));
-        if told.epoch != epoch {
-            let first = self.classified.insert((told.epoch, told.attempt));
+        let ended_at = Time(now.0.saturating_sub(result.ended_ago.0 + read_delay.0));
+        if result.epoch != epoch {
+            let first = self.classified.insert((result.epoch, result.attempt));
             if self.classified.len() > MAX_TRACKED_ATTEMPTS {
                 self.classified.pop_first();
             }
-            return (first && ended > rest).then(|| LateSuccess::EndedAfterHold { by: ended.since(rest) });
+            return (first && ended_at > hold_until).then(|| LateSuccess::EndedAfterHold { by: ended_at.since(hold_until) });
         }
-        let end = self.deadlines.remove(&told.attempt)?;
-        match ended > end {
-            true => Some(LateSuccess::EndedAfterDeadline { by: ended.since(end) }),
-            false => Some(LateSuccess::ReportedLate { by: now.since(end) }),
+        let deadline = self.deadlines.remove(&result.attempt)?;
+        match ended_at > deadline {
+            true => Some(LateSuccess::EndedAfterDeadline { by: ended_at.since(deadline) }),
+            false => Some(LateSuccess::ReportedLate { by: now.since(deadline) }),
         }
     }
 }
--- a/crates/queue/src/partial_copy.rs
+++ b/crates/queue/src/partial_copy.rs
@@ -1,113 +1,118 @@
-//! A copy of a partition while its parts come in.
+//! A copy of a partition while its parts arrive.
 use crate::prelude::*;
 
-/// So many messages' bytes are asked for at once.
+/// Most message bodies that are requested at once.
 const MAX_BODIES_REQUESTED: usize = 256;
-/// What a record takes beside its texts, about.
+/// Approximate size of a record without its texts.
 const RECORD_OVERHEAD_BYTES: usize = 200;
 
-/// How many bytes a record without its body takes, about.
-pub fn record_size(head: &MessageHeader) -> usize {
-    let parcel = head.caller_request.as_ref().map_or(0, |p| p.path.len() + p.host.len() + p.id.len() + p.callback_path.len());
-    RECORD_OVERHEAD_BYTES + head.key.len() + head.completion_token.len() + parcel
+/// Approximate size in bytes of a record without its body.
+pub fn record_size(header: &MessageHeader) -> usize {
+    let request = header.caller_request.as_ref().map_or(0, |p| p.path.len() + p.host.len() + p.id.len() + p.callback_path.len());
+    RECORD_OVERHEAD_BYTES + header.key.len() + header.completion_token.len() + request
 }
 
-/// Invariants: `records` are exactly the source's at operation `position.n`, of
-/// those up to `position.after`; `missing` names at least all of them whose
-/// bytes are neither here nor, as far as was known, held by the replica itself.
+/// A copy that is received in parts.
+///
+/// Invariants: `replica` holds exactly the records that the source had at operation
+/// `position.last_op`, among those up to `position.last_id`; `missing_bodies` names
+/// at least every record of them whose body is neither here nor, as far as is known,
+/// already held by this store's own replica.
 #[derive(Default)]
 pub struct PartialCopy {
-    records: Box<PartitionReplica>,
-    /// Takes the accounts of files that `records` has no use for.
+    replica: Box<PartitionReplica>,
+    /// Satisfies the journal parameter of the replica's methods; it is never saved.
     scratch_journal: Journal,
+    /// How far the list of records has arrived.
     position: Option<CopyPosition>,
-    /// The operation at which the last part stood.
+    /// The last operation that the latest part includes.
     last_op: u64,
     next_seq: u64,
+    /// No more records follow.
     complete: bool,
     missing_bodies: BTreeSet<MessageId>,
-    /// Bytes from before it began anew: a message's bytes never change.
+    /// Bodies received before the copy was restarted: a message's body never changes.
     reusable_bodies: BTreeMap<MessageId, Bytes>,
-    /// Bytes that its parts brought: it holds no more of them in memory.
+    /// Bytes received in parts: an upper bound of what the copy holds in memory.
     received_bytes: usize,
 }
 
-/// How many bytes an operation of a copy takes, about.
+/// Approximate size in bytes of an operation in a copy.
 fn operation_size(op: &PartitionOp) -> usize {
     match op {
-        PartitionOp::Put(head, _, body) => record_size(head) + body.len(),
+        PartitionOp::Put(header, _, body) => record_size(header) + body.len(),
         _ => RECORD_OVERHEAD_BYTES,
     }
 }
 
-/// What a part did for a copy.
+/// What a received part contributed to a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartResult {
-    /// It answers an earlier question, and was not taken.
+    /// It answers an earlier request, and was ignored.
     Ignored,
-    /// It brought records or bytes, or nothing is lacking.
+    /// It contained records or bodies, or nothing is missing.
     Progress,
-    /// The source has not what is lacking, as yet.
+    /// The source does not have what is missing yet.
     NoProgress,
 }
 
 impl PartialCopy {
-    /// One that begins with the bytes that an earlier one brought.
+    /// A new copy that reuses the bodies that an earlier one received.
     pub fn reusing_bodies_of(earlier: PartialCopy) -> PartialCopy {
-        let mut spare = earlier.reusable_bodies;
-        for record in earlier.records.records.into_values() {
+        let mut bodies = earlier.reusable_bodies;
+        for record in earlier.replica.records.into_values() {
             if let (1.., Some(body)) = (record.header.len, record.body) {
-                spare.insert(record.header.id, body);
+                bodies.insert(record.header.id, body);
             }
         }
-        let brought = spare.values().map(Bytes::len).sum();
-        PartialCopy { reusable_bodies: spare, received_bytes: brought, ..PartialCopy::default() }
+        let received_bytes = bodies.values().map(Bytes::len).sum();
+        PartialCopy { reusable_bodies: bodies, received_bytes, ..PartialCopy::default() }
     }
 
-    /// How many bytes it holds in memory, at most.
+    /// The most bytes that it may hold in memory.
     pub fn received_bytes(&self) -> usize {
         self.received_bytes
     }
 
-    /// The operation at which it stands.
+    /// The last operation that it includes.
     pub fn last_op(&self) -> u64 {
         self.last_op
     }
 
-    /// The next place in the partition's order.
+    /// The sequence number of the partition's next message.
     pub fn next_seq(&self) -> u64 {
         self.next_seq
     }
 
-    /// Whether no more records come.
+    /// Whether all records have arrived, if not all bodies.
     pub fn has_all_records(&self) -> bool {
         self.complete
     }
 
-    /// How many messages' bytes are lacking.
+    /// How many bodies are missing.
     pub fn missing_body_count(&self) -> usize {
         self.missing_bodies.len()
     }
 
     pub fn records(&self) -> impl Iterator<Item = &Record> {
-        self.records.records.values()
+        self.replica.records.values()
     }
 
-    /// What to ask for next.
+    /// The next request to the source.
     pub fn request(&self) -> CopyRequest {
         CopyRequest { position: self.position.clone(), wanted: self.bodies_to_request() }
     }
 
-    /// Messages whose bytes are asked for next.
+    /// Messages whose bodies are requested next.
     pub fn bodies_to_request(&self) -> Vec<MessageId> {
         self.missing_bodies.iter().take(MAX_BODIES_REQUESTED).cloned().collect()
     }
 
-    /// Takes the next part. `held` says whether the replica itself holds a
-    /// message's bytes.
+    /// Applies the next part. `held` tells whether this store's own replica already
+    /// holds a message's body.
     pub fn apply_part(
         &mut self,
-        place: &PartitionId,
+        partition: &PartitionId,
         part: CopyPart,
         held: impl Fn(&MessageHeader) -> bool,
         now: Time,
@@ -117,11 +122,11 @@
         } else if part.from != self.position {
             return PartResult::Ignored;
         }
-        self.received_bytes += part.records.iter().map(|(head, _)| record_size(head)).sum::<usize>();
+        self.received_bytes += part.records.iter().map(|(header, _)| record_size(header)).sum::<usize>();
         self.received_bytes += part.ops.iter().map(operation_size).sum::<usize>();
-        let brings = part.from.is_none() || !part.records.is_empty() || !part.bodies.is_empty() || !part.complete;
+        let has_content = part.from.is_none() || !part.records.is_empty() || !part.bodies.is_empty() || !part.complete;
         for op in &part.ops {
-            self.apply(place, op, now);
+            self.apply_op(partition, op, now);
         }
         self.add_bodies(part.bodies);
         if let Some((last, _)) = part.records.last() {
@@ -129,64 +134,65 @@
         } else if let Some(position) = &mut self.position {
             position.last_op = part.last_op;
         }
-        for (head, stage) in &part.records {
-            self.put_record(head, *stage, &held, now);
+        for (header, stage) in &part.records {
+            self.put_record(header, *stage, &held, now);
         }
         (self.last_op, self.next_seq, self.complete) = (part.last_op, part.next_seq, part.complete);
-        match brings || self.missing_bodies.is_empty() {
+        match has_content || self.missing_bodies.is_empty() {
             true => PartResult::Progress,
             false => PartResult::NoProgress,
         }
     }
 
-    fn apply(&mut self, place: &PartitionId, op: &PartitionOp, now: Time) {
-        self.records.apply(place, op, 0, now, &mut self.scratch_journal);
+    fn apply_op(&mut self, partition: &PartitionId, op: &PartitionOp, now: Time) {
+        self.replica.apply(partition, op, 0, now, &mut self.scratch_journal);
         self.missing_bodies.remove(op.id());
         self.mark_if_missing(op.id());
     }
 
-    fn put_record(&mut self, head: &MessageHeader, stage: Stage, held: &impl Fn(&MessageHeader) -> bool, now: Time) {
-        self.records.put_record(head, stage, &Bytes::new(), 0, now, &mut self.scratch_journal);
-        let Some(record) = self.records.records.get_mut(&head.id) else { return };
+    fn put_record(&mut self, header: &MessageHeader, stage: Stage, held: &impl Fn(&MessageHeader) -> bool, now: Time) {
+        self.replica.put_record(header, stage, &Bytes::new(), 0, now, &mut self.scratch_journal);
+        let Some(record) = self.replica.records.get_mut(&header.id) else { return };
         if record.header.len == 0 {
             return;
         }
-        record.body = self.reusable_bodies.remove(&head.id).filter(|body| head.matches(body));
-        if record.body.is_none() && !held(head) {
-            self.missing_bodies.insert(head.id.clone());
+        record.body = self.reusable_bodies.remove(&header.id).filter(|body| header.matches(body));
+        if record.body.is_none() && !held(header) {
+            self.missing_bodies.insert(header.id.clone());
         }
     }
 
-    /// Notes a record as missing if its bytes are not here.
+    /// Marks a record's body as missing if it is not here.
     fn mark_if_missing(&mut self, id: &MessageId) {
-        let Some(record) = self.records.records.get(id) else { return };
+        let Some(record) = self.replica.records.get(id) else { return };
         if record.loaded_body().is_none() {
             self.missing_bodies.insert(id.clone());
         }
     }
 
-    /// Takes bytes of its records; false when some are not what was handed in.
+    /// Adds bodies of its records; false when a body does not match its header.
     pub fn add_bodies(&mut self, bodies: Vec<(MessageId, Bytes)>) -> bool {
-        let mut sound = true;
+        let mut all_match = true;
         for (id, body) in bodies {
-            let Some(record) = self.records.records.get_mut(&id).filter(|r| r.header.len > 0) else { continue };
+            let Some(record) = self.replica.records.get_mut(&id).filter(|r| r.header.len > 0) else { continue };
             if !record.header.matches(&body) {
-                sound = false;
+                all_match = false;
                 continue;
             }
             self.received_bytes += body.len();
             record.body = Some(body);
             self.missing_bodies.remove(&id);
         }
-        sound
+        all_match
     }
 
-    /// Whether every record has its bytes, here or held by the replica itself;
-    /// those that have not are missing from now on.
+    /// Whether every body is here or held by this store's own replica; those that
+    /// are not are marked as missing.
     pub fn has_all_bodies(&mut self, held: impl Fn(&MessageHeader) -> bool) -> bool {
         if self.missing_bodies.is_empty() {
-            let lacks = |record: &&Record| record.loaded_body().is_none() && !held(&record.header);
-            self.missing_bodies = self.records.records.values().filter(lacks).map(|record| record.header.id.clone()).collect();
+            let is_missing = |record: &&Record| record.loaded_body().is_none() && !held(&record.header);
+            self.missing_bodies =
+                self.replica.records.values().filter(is_missing).map(|record| record.header.id.clone()).collect();
         }
         self.missing_bodies.is_empty()
     }
--- a/crates/queue/src/partition_replica.rs
+++ b/crates/queue/src/partition_replica.rs
@@ -1,40 +1,47 @@
-//! One partition as one store holds it, leader or not.
+//! The replica of one partition at one store, leader or not.
 use crate::prelude::*;
 
-/// Invariants: `stage` never goes back; `home` is the version of the file the
-/// bytes stand in, at offset `at`, once that is saved; while `home` is in a
-/// small file not folded yet, `body` is in memory too.
+/// A message of the partition.
+///
+/// Invariants: `stage` never goes back; the body is in the segment that holds the save
+/// `saved_in`, at `offset`, once that is saved; until that segment is compacted, the
+/// body is in memory too.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub header: MessageHeader,
     pub stage: Stage,
-    /// `None` when it rests on disk only.
+    /// `None` when it is only on disk.
     pub body: Option<Bytes>,
+    /// The journal save that holds the body.
     pub saved_in: u64,
+    /// Where the body begins in its segment.
     pub offset: u64,
+    /// The journal save that holds the latest change of the stage.
     pub stage_saved_in: u64,
-    /// By this store's clock; after a restart, when it was read back.
+    /// When this store received it, by its clock; after a restart, when it was read
+    /// back.
     pub received_at: Time,
-    /// When it was handed in; after a restart and in a copy, as the time of
-    /// day tells it, which may be wrong: nothing ends by it.
+    /// When it was accepted. After a restart and in a copy this is computed from the
+    /// time of day, which may be wrong, so no message ends because of it.
     pub accepted_at: Time,
     pub ended_at: Time,
+    /// Failed attempts: first of its work, then of its call-back.
     pub failed_attempts: u32,
-    /// Attempts of which nobody knows whether they succeeded; counted here only.
+    /// Attempts with an unknown outcome; counted at this store only.
     pub unknown_outcomes: u32,
 }
 
 impl Record {
-    /// Whether its bytes were let go of: a routed message that was done is
-    /// neither run nor read back again.
+    /// Whether its body is released: a routed message that succeeded is neither run
+    /// nor read back again.
     pub fn is_body_released(&self) -> bool {
-        let done = matches!(self.stage, Stage::Ended(Outcome::Succeeded) | Stage::EndedAwaitingCallback(Outcome::Succeeded));
-        done && !self.header.route.is_empty()
+        let succeeded = matches!(self.stage, Stage::Ended(Outcome::Succeeded) | Stage::EndedAwaitingCallback(Outcome::Succeeded));
+        succeeded && !self.header.route.is_empty()
     }
 
-    /// Lets go of the bytes once nobody needs them, and of the request when no
-    /// call-back is owed any more. From then on the record is that of an empty
-    /// message, in every copy alike. Gives the change in bytes held.
+    /// Releases the body once nothing needs it, and the caller's request once no
+    /// call-back is pending. From then on the record is that of an empty message, in
+    /// every copy alike. Returns the change in bytes held.
     fn release_body(&mut self) -> i64 {
         if !self.is_body_released() {
             return 0;
@@ -48,7 +55,7 @@
         -freed
     }
 
-    /// The bytes, where they are in memory or none.
+    /// The body, if it is in memory or empty.
     pub fn loaded_body(&self) -> Option<Bytes> {
         match self.header.len {
             0 => Some(Bytes::new()),
@@ -57,100 +64,110 @@
     }
 }
 
-/// Invariants: `installed <= promised`; `n` counts the ops of epoch
-/// `installed` applied here without a gap, so of two replicas the one with
-/// the higher (installed, n) holds everything the other's history holds.
+/// The replica's records and its state in the replication protocol.
+///
+/// Invariants: `installed_epoch <= promised_epoch`; `last_op` counts the ops of epoch
+/// `installed_epoch` applied here without a gap, so of two replicas the one with the
+/// higher (`installed_epoch`, `last_op`) holds everything in the other's history.
 #[derive(Default)]
 pub struct PartitionReplica {
+    /// Nothing is accepted from lower epochs.
     pub promised_epoch: Epoch,
+    /// The epoch whose ops are applied.
     pub installed_epoch: Epoch,
     pub last_op: u64,
-    /// The next place in order.
+    /// The sequence number of the next message.
     pub next_seq: u64,
     pub records: BTreeMap<MessageId, Record>,
+    /// A copy that is being fetched.
     pub copy_fetch: Option<CopyFetch>,
+    /// Set while this store leads the partition.
     pub leader_state: Option<LeaderState>,
 }
 
 impl PartitionReplica {
-    /// Applies one op; every change of a partition's contents passes here.
-    /// Gives the change in bytes held.
-    pub fn apply(&mut self, place: &PartitionId, op: &PartitionOp, home: u64, now: Time, ledger: &mut Journal) -> i64 {
+    /// Applies one op, which the journal save `save` will hold; every change by an op
+    /// passes here. Returns the change in bytes held.
+    pub fn apply(&mut self, partition: &PartitionId, op: &PartitionOp, save: u64, now: Time, journal: &mut Journal) -> i64 {
         match op {
-            PartitionOp::Put(head, stage, body) => self.put_record(head, *stage, body, home, now, ledger),
+            PartitionOp::Put(header, stage, body) => self.put_record(header, *stage, body, save, now, journal),
             PartitionOp::SetStage(id, stage) => {
                 let Some(r) = self.records.get_mut(id) else { return 0 };
                 if stage.rank() > r.stage.rank() {
                     r.stage = *stage;
-                    r.stage_saved_in = home;
+                    r.stage_saved_in = save;
                     r.ended_at = now;
                 }
                 r.release_body()
             }
-            PartitionOp::SetStageWithToken(id, stage, seal) => {
+            PartitionOp::SetStageWithToken(id, stage, token) => {
                 let Some(r) = self.records.get_mut(id) else { return 0 };
                 if stage.rank() > r.stage.rank() {
-                    (r.stage, r.stage_saved_in, r.ended_at) = (*stage, home, now);
+                    (r.stage, r.stage_saved_in, r.ended_at) = (*stage, save, now);
                 }
-                if !seal.is_empty() {
-                    r.header.completion_token.clone_from(seal);
+                if !token.is_empty() {
+                    r.header.completion_token.clone_from(token);
                 }
                 r.release_body()
             }
-            PartitionOp::Remove(id) => self.remove_record(place, id, ledger),
+            PartitionOp::Remove(id) => self.remove_record(partition, id, journal),
         }
     }
+    /// Adds a record, or writes it again with another save. Returns the change in bytes
+    /// held.
     pub fn put_record(
         &mut self,
-        head: &MessageHeader,
+        header: &MessageHeader,
         stage: Stage,
         body: &Bytes,
-        home: u64,
+        save: u64,
         now: Time,
-        ledger: &mut Journal,
+        journal: &mut Journal,
     ) -> i64 {
-        self.next_seq = self.next_seq.max(head.seq + 1);
-        if let Some(r) = self.records.get_mut(&head.id) {
-            ledger.remove_live_record(r.saved_in);
-            ledger.add_live_record(home);
-            r.saved_in = home;
+        self.next_seq = self.next_seq.max(header.seq + 1);
+        if let Some(r) = self.records.get_mut(&header.id) {
+            journal.remove_live_record(r.saved_in);
+            journal.add_live_record(save);
+            r.saved_in = save;
             r.body = Some(body.clone());
-            let before = i64::from(r.header.len);
-            // An older line of it may not know yet how it was done.
-            let seal = std::mem::take(&mut r.header.completion_token);
-            r.header = head.clone();
+            let old_len = i64::from(r.header.len);
+            // An older journal entry of it may lack the completion token.
+            let token = std::mem::take(&mut r.header.completion_token);
+            r.header = header.clone();
             if r.header.completion_token.is_empty() {
-                r.header.completion_token = seal;
+                r.header.completion_token = token;
             }
             if stage.rank() >= r.stage.rank() {
                 r.stage = stage;
             }
-            return i64::from(r.header.len) - before + r.release_body();
+            return i64::from(r.header.len) - old_len + r.release_body();
         }
-        ledger.add_live_record(home);
-        let mut rec = Record {
-            header: head.clone(),
+        journal.add_live_record(save);
+        let mut record = Record {
+            header: header.clone(),
             stage,
             body: Some(body.clone()),
-            saved_in: home,
+            saved_in: save,
             offset: 0,
-            stage_saved_in: home,
+            stage_saved_in: save,
             received_at: now,
             accepted_at: now,
             ended_at: now,
             failed_attempts: 0,
             unknown_outcomes: 0,
         };
-        let held = body.len() as i64 + rec.release_body();
-        self.records.insert(head.id.clone(), rec);
+        let held = body.len() as i64 + record.release_body();
+        self.records.insert(header.id.clone(), record);
         held
     }
-    pub fn remove_record(&mut self, place: &PartitionId, id: &MessageId, ledger: &mut Journal) -> i64 {
+    /// Removes a record; returns the change in bytes held.
+    pub fn remove_record(&mut self, partition: &PartitionId, id: &MessageId, journal: &mut Journal) -> i64 {
         let Some(r) = self.records.remove(id) else { return 0 };
-        ledger.remove_live_record(r.saved_in);
-        ledger.removed_records.push((r.saved_in, place.clone(), id.clone()));
+        journal.remove_live_record(r.saved_in);
+        journal.removed_records.push((r.saved_in, partition.clone(), id.clone()));
         -i64::from(r.header.len)
     }
+    /// All records, without bodies.
     pub fn snapshot(&self) -> PartitionSnapshot {
         PartitionSnapshot {
             last_op: self.last_op,
@@ -158,20 +175,27 @@
             headers: self.records.values().map(|r| (r.header.clone(), r.stage)).collect(),
         }
     }
-    /// Keeps exactly these, with these stages.
-    pub fn retain_only(&mut self, place: &PartitionId, keep: &[(MessageId, Stage, u64)], now: Time, ledger: &mut Journal) -> i64 {
-        let want: BTreeMap<&MessageId, (Stage, u64)> = keep.iter().map(|(i, s, q)| (i, (*s, *q))).collect();
-        let gone: Vec<MessageId> = self.records.keys().filter(|i| !want.contains_key(i)).cloned().collect();
+    /// Removes all records but these, which get these stages and sequence numbers.
+    /// Returns the change in bytes held.
+    pub fn retain_only(
+        &mut self,
+        partition: &PartitionId,
+        records: &[(MessageId, Stage, u64)],
+        now: Time,
+        journal: &mut Journal,
+    ) -> i64 {
+        let retained: BTreeMap<&MessageId, (Stage, u64)> = records.iter().map(|(i, s, q)| (i, (*s, *q))).collect();
+        let to_remove: Vec<MessageId> = self.records.keys().filter(|i| !retained.contains_key(i)).cloned().collect();
         let mut held = 0;
-        for id in gone {
-            held += self.remove_record(place, &id, ledger);
+        for id in to_remove {
+            held += self.remove_record(partition, &id, journal);
         }
         for (id, r) in self.records.iter_mut() {
-            let Some((stage, seq)) = want.get(id) else { continue };
+            let Some((stage, seq)) = retained.get(id) else { continue };
             if r.stage != *stage {
                 r.ended_at = now;
                 r.stage = *stage;
-                r.stage_saved_in = ledger.next_save();
+                r.stage_saved_in = journal.next_save();
                 held += r.release_body();
             }
             r.header.seq = *seq;
