--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -115,7 +115,7 @@
             .map(|(place, _)| place.clone())
             .collect();
         for place in due {
-            if self.link.may(&Duty::Lead(place.clone()), now).is_some() {
+            if self.link.active_epoch(&Duty::Lead(place.clone()), now).is_some() {
                 self.tend(&place, now);
             }
         }
