--- a/crates/queue/src/dispatch_queues.rs
+++ b/crates/queue/src/dispatch_queues.rs
@@ -56,7 +56,7 @@
         };
         queue.insert(not_before, seq, eligible_at, key_backlog);
     }
-    /// Tells the first message of a key how many of the key wait.
+    /// Updates the backlog of a key in the queue entry of its first message.
     fn update_key_backlog(&mut self, header: &MessageHeader) {
         let Some(key) = self.pending_by_key.get(&header.key) else { return };
         let (Some(first), Some(queue)) = (key.first(), self.routed.get_mut(&header.route)) else { return };
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -29,7 +29,7 @@
         let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
         let needed = own.backups_needed();
         if lost.is_some_and(|lost| !far(lost)) {
-            own.near_backup_tried = now;
+            own.same_zone_backup_changed_at = now;
         }
         own.backups.retain(|d, _| all.contains(d) && Some(d) != lost);
         // The one after the lost one comes first, the lost one itself last.
@@ -201,14 +201,14 @@
             return;
         }
         if own.backups.len() > own.backups_needed() {
-            return own.release_far_backup(near);
+            return own.remove_backup_in_other_zone(near);
         }
-        if own.backups.keys().any(near) || now.since(own.near_backup_tried) < NEAR_DRAWN_AGAIN {
+        if own.backups.keys().any(near) || now.since(own.same_zone_backup_changed_at) < NEAR_DRAWN_AGAIN {
             return;
         }
         let counts = |d: &Daemon| own.disk_id_of(d).is_some_and(|mark| own.is_counted(d, mark));
         let Some(next) = candidates.into_iter().find(|d| near(d) && counts(d)) else { return };
-        own.near_backup_tried = now;
+        own.same_zone_backup_changed_at = now;
         own.backups.insert(next, now);
         own.last_request = Time(0);
     }
--- a/crates/queue/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -1,6 +1,6 @@
-//! A partition's leader while one of its stores is replaced: what a copy must
-//! hold before it may take the seat. Three store cores and a joiner, driven by
-//! steps alone; the test stands for placement and hands out the grants.
+//! A partition's leader while a store of its write set is replaced: what the joining
+//! store's copy must hold before it may be counted. Three store cores and a joining one,
+//! driven by steps; the test acts as placement and issues the grants.
 mod settings;
 use dw_queue::prelude::*;
 use settings::*;
@@ -8,13 +8,13 @@
 
 const STEP: Span = Span::millis(50);
 const LEADER: &str = "store-1";
-const LEAVER: &str = "store-2";
+const LEAVING: &str = "store-2";
 const THIRD: &str = "store-3";
-const JOINER: &str = "store-4";
-/// It stands in the leader's zone.
+const JOINING: &str = "store-4";
+/// It is in the leader's zone.
 const NEIGHBOUR: &str = "store-9";
 
-fn place() -> PartitionId {
+fn partition() -> PartitionId {
     PartitionId { tenant: "curators".into(), queue: "sheets".into(), number: 0 }
 }
 
@@ -26,125 +26,119 @@
 struct Stores {
     now: Time,
     cores: BTreeMap<Daemon, Store>,
-    /// Stores that hear nothing and are heard by nobody.
-    cut: BTreeSet<Daemon>,
+    /// Stores that are cut off from all others.
+    cut_off: BTreeSet<Daemon>,
     queue: VecDeque<(Daemon, Event)>,
-    set: Vec<(Daemon, IncarnationId)>,
+    write_set: Vec<(Daemon, IncarnationId)>,
     /// The count of the leader's epoch.
     epoch: u64,
-    swap: Option<(Daemon, Daemon, u64)>,
-    /// What the leader last reported.
+    replacement: Option<(Daemon, Daemon, u64)>,
+    /// The leader's last report.
     report: Report,
     accepted: BTreeSet<u64>,
-    /// Stores started as yet: the version of the list of members.
+    /// How often a store was started: the version of the list of members.
     starts: u64,
-    asked: u64,
+    last_request_id: u64,
 }
 
 impl Stores {
     fn new() -> Stores {
-        Stores::with_set(&[LEADER, LEAVER, THIRD])
+        Stores::with_write_set(&[LEADER, LEAVING, THIRD])
     }
-    fn with_set(set: &[&str]) -> Stores {
+    fn with_write_set(write_set: &[&str]) -> Stores {
         let mut s = Stores {
             now: Time::millis(1_000),
             cores: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_off: BTreeSet::new(),
             queue: VecDeque::new(),
-            set: Vec::new(),
+            write_set: Vec::new(),
             epoch: 1,
-            swap: None,
+            replacement: None,
             report: Report::default(),
             accepted: BTreeSet::new(),
             starts: 0,
-            asked: 0,
+            last_request_id: 0,
         };
-        for name in set.iter().copied().chain([JOINER]) {
-            s.start_empty(name, IncarnationId(hash_of(name.as_bytes())));
+        for name in write_set.iter().copied().chain([JOINING]) {
+            s.start_with_empty_disk(name, IncarnationId(hash_of(name.as_bytes())));
         }
-        s.set = set.iter().map(|n| (daemon(n), s.mark(n))).collect();
+        s.write_set = write_set.iter().map(|n| (daemon(n), s.mark(n))).collect();
         s.run(3_000);
         assert_eq!(s.leader().phase, Phase::Serving);
         s
     }
-    /// Starts a store on an empty folder.
-    fn start_empty(&mut self, name: &str, mark: IncarnationId) {
+    /// Starts a store with an empty data folder.
+    fn start_with_empty_disk(&mut self, name: &str, mark: IncarnationId) {
         let settings = Startup {
             pull: Span::millis(300),
             word: Span::millis(500),
             seed: hash_of(name.as_bytes()),
             ..startup(in_own_zone(name))
         };
-        let none: Vec<(String, Bytes)> = Vec::new();
-        let (core, out) = Store::new(settings, &none, mark, self.now);
+        let no_files: Vec<(String, Bytes)> = Vec::new();
+        let (core, out) = Store::new(settings, &no_files, mark, self.now);
         self.cores.insert(daemon(name), core);
         self.starts += 1;
-        self.obey(&daemon(name), out);
+        self.handle_effects(&daemon(name), out);
     }
     fn mark(&self, name: &str) -> IncarnationId {
         self.cores[&daemon(name)].mark
     }
     fn leader(&self) -> &LeaderState {
-        self.cores[&daemon(LEADER)].parts[&place()].leader_state.as_ref().expect("a leader")
+        self.cores[&daemon(LEADER)].parts[&partition()].leader_state.as_ref().expect("a leader")
     }
-    fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
+    fn handle_effects(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Send(to, _) if self.cut.contains(id) || self.cut.contains(&to) => {}
-                Effect::Send(_, PeerMessage::Pull { requested_at: asked, report, .. }) => self.answer(id, asked, report),
-                Effect::Send(_, PeerMessage::SubmitResponse { request_id: ask, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
-                    self.accepted.insert(ask);
+                Effect::Send(to, _) if self.cut_off.contains(id) || self.cut_off.contains(&to) => {}
+                Effect::Send(_, PeerMessage::Pull { requested_at, report, .. }) => self.answer_pull(id, requested_at, report),
+                Effect::Send(_, PeerMessage::SubmitResponse { request_id, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
+                    self.accepted.insert(request_id);
                 }
-                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
-                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message: msg }));
+                Effect::Send(to, message) if self.cores.contains_key(&to) => {
+                    self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message }));
                 }
                 Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
             }
         }
     }
-    /// Answers a pull as placement does: members, and the leader's grant.
-    fn answer(&mut self, to: &Daemon, asked: Time, report: Option<Report>) {
+    /// Answers a pull as placement would: members, and the leader's grant.
+    fn answer_pull(&mut self, to: &Daemon, requested_at: Time, report: Option<Report>) {
         let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.mark, ..in_own_zone(d.as_str()) }).collect();
         let version = Version { term: Term(1), count: 1 };
-        let rules = json_of_rules();
+        let rules = config();
         let listed = Version { count: self.starts, ..version };
-        let items = vec![(listed, Update::Members(members)), (version, Update::Config(rules))];
+        let updates = vec![(listed, Update::Members(members)), (version, Update::Config(rules))];
         let mut grants = Vec::new();
-        if *to == daemon(LEADER) && !self.set.is_empty() {
+        if *to == daemon(LEADER) && !self.write_set.is_empty() {
             self.report = report.unwrap_or_default();
-            let (swap, swap_number) = match self.swap.clone() {
-                Some((out, joiner, n)) => (Some((out, joiner)), Version { term: Term(1), count: n }),
+            let (replacement, replacement_number) = match self.replacement.clone() {
+                Some((out, joining, n)) => (Some((out, joining)), Version { term: Term(1), count: n }),
                 None => (None, Version::ZERO),
             };
-            let duty = Duty::Lead(place());
+            let duty = Duty::Lead(partition());
             let epoch = Epoch { term: Term(1), count: self.epoch };
             grants.push(Grant {
                 duty,
                 epoch,
-                write_set: self.set.clone(),
-                replacement: swap,
-                replacement_number: swap_number,
+                write_set: self.write_set.clone(),
+                replacement,
+                replacement_number,
                 release_requested: false,
                 slot_range: None,
             });
         }
-        let fresh = Some(Span::millis(2_500));
-        let msg = PeerMessage::PullResponse {
-            requested_at: asked,
-            term: Term(1),
-            config_valid_for: fresh,
-            updates: items,
-            grants,
-            late_stores: Vec::new(),
-        };
-        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
+        let config_valid_for = Some(Span::millis(2_500));
+        let message =
+            PeerMessage::PullResponse { requested_at, term: Term(1), config_valid_for, updates, grants, late_stores: Vec::new() };
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message }));
     }
-    fn drain(&mut self) {
+    fn deliver_all(&mut self) {
         while let Some((id, event)) = self.queue.pop_front() {
             let Some(core) = self.cores.get_mut(&id) else { continue };
             let out = core.step(event, self.now);
-            self.obey(&id, out);
+            self.handle_effects(&id, out);
         }
     }
     fn run(&mut self, ms: u64) {
@@ -153,55 +147,55 @@
             self.now += STEP;
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
                 self.queue.push_back((id, Event::Tick));
-                self.drain();
+                self.deliver_all();
             }
         }
     }
-    fn carry(&mut self, ask: u64, body: Bytes) {
-        let id = MessageId(format!("m{ask}"));
-        let head = MessageHeader { id, crc: crc32(&body), len: body.len() as u32, ..MessageHeader::default() };
-        let msg = PeerMessage::Submit {
-            request_id: ask,
+    fn submit(&mut self, request_id: u64, body: Bytes) {
+        let id = MessageId(format!("m{request_id}"));
+        let header = MessageHeader { id, crc: crc32(&body), len: body.len() as u32, ..MessageHeader::default() };
+        let message = PeerMessage::Submit {
+            request_id,
             proxy: daemon("proxy-1"),
             via: None,
             wants_refusal: false,
-            partition: place(),
+            partition: partition(),
             version: Version::ZERO,
-            header: head,
+            header,
             body,
             age_bound: None,
             refusal: None,
         };
-        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
+        self.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message }));
     }
-    /// Hands messages to the leader; all are accepted.
-    fn hand_in(&mut self, count: u64) {
-        let first = self.asked + 1;
+    /// Submits messages to the leader, and checks that all are accepted.
+    fn submit_and_check(&mut self, count: u64) {
+        let first = self.last_request_id + 1;
         for _ in 0..count {
-            self.asked += 1;
-            let body = Bytes::from(format!("body {}", self.asked));
-            self.carry(self.asked, body);
+            self.last_request_id += 1;
+            let body = Bytes::from(format!("body {}", self.last_request_id));
+            self.submit(self.last_request_id, body);
         }
         self.run(1_500);
-        let missing: Vec<u64> = (first..=self.asked).filter(|n| !self.accepted.contains(n)).collect();
+        let missing: Vec<u64> = (first..=self.last_request_id).filter(|n| !self.accepted.contains(n)).collect();
         assert!(missing.is_empty(), "not accepted: {missing:?}");
     }
-    /// Whether the leader's last report lets placement move the seat.
-    fn seat_may_move(&self) -> bool {
-        let Some((_, joiner, n)) = &self.swap else { return false };
+    /// Whether the leader's last report permits placement to change the write set.
+    fn may_change_write_set(&self) -> bool {
+        let Some((_, joining, n)) = &self.replacement else { return false };
         let number = Version { term: Term(1), count: *n };
-        let whole = (place(), joiner.clone(), self.mark(joiner.as_str()));
-        self.report.replacement_numbers.contains(&(place(), number)) && self.report.complete_copies.contains(&whole)
+        let complete_copy = (partition(), joining.clone(), self.mark(joining.as_str()));
+        self.report.replacement_numbers.contains(&(partition(), number)) && self.report.complete_copies.contains(&complete_copy)
     }
-    fn has(&self, name: &str) -> usize {
-        self.cores[&daemon(name)].parts.get(&place()).map_or(0, |p| p.records.len())
+    fn record_count(&self, name: &str) -> usize {
+        self.cores[&daemon(name)].parts.get(&partition()).map_or(0, |p| p.records.len())
     }
-    fn replace(&mut self, number: u64) {
-        self.swap = Some((daemon(LEAVER), daemon(JOINER), number));
+    fn start_replacement(&mut self, number: u64) {
+        self.replacement = Some((daemon(LEAVING), daemon(JOINING), number));
     }
 }
 
-fn json_of_rules() -> String {
+fn config() -> String {
     let text = r#"{
         "templates": [{"name": "house", "waitlists": [
             {"name": "sheets", "partitions": 1, "service": "sheets", "attempts": 8, "attempt_ms": 1500}
@@ -213,123 +207,126 @@
 }
 
 #[test]
-fn a_joiner_is_whole_once_it_holds_all_that_was_accepted() {
+fn a_joining_copy_is_complete_once_it_holds_all_that_was_accepted() {
     let mut s = Stores::new();
-    s.hand_in(20);
-    assert!(!s.seat_may_move());
-    s.replace(1);
+    s.submit_and_check(20);
+    assert!(!s.may_change_write_set());
+    s.start_replacement(1);
     s.run(1_500);
-    assert!(s.seat_may_move());
-    assert_eq!(s.has(JOINER), 20);
+    assert!(s.may_change_write_set());
+    assert_eq!(s.record_count(JOINING), 20);
 }
 
 #[test]
-fn a_joiner_copied_for_an_earlier_replacement_is_copied_again() {
+fn a_copy_made_for_an_earlier_replacement_is_made_again() {
     let mut s = Stores::new();
-    s.hand_in(5);
-    s.replace(1);
+    s.submit_and_check(5);
+    s.start_replacement(1);
     s.run(1_500);
-    assert!(s.seat_may_move());
-    // The one that was to leave is back, and what follows stands on it alone.
-    s.swap = None;
+    assert!(s.may_change_write_set());
+    // The leaving store is kept after all, and what follows is replicated to it alone.
+    s.replacement = None;
     s.run(600);
     assert_eq!((s.report.complete_copies.len(), s.report.replacement_numbers.len()), (0, 0));
-    s.cut.insert(daemon(THIRD));
-    s.hand_in(10);
-    assert_eq!((s.has(LEAVER), s.has(JOINER)), (15, 5));
-    s.replace(2);
-    let begun = s.now;
-    while !s.seat_may_move() {
-        assert!(s.now.since(begun) < Span::secs(4), "never whole");
+    s.cut_off.insert(daemon(THIRD));
+    s.submit_and_check(10);
+    assert_eq!((s.record_count(LEAVING), s.record_count(JOINING)), (15, 5));
+    s.start_replacement(2);
+    let started = s.now;
+    while !s.may_change_write_set() {
+        assert!(s.now.since(started) < Span::secs(4), "the copy is never complete");
         s.run(50);
     }
-    assert_eq!(s.has(JOINER), 15);
+    assert_eq!(s.record_count(JOINING), 15);
 }
 
 #[test]
-fn a_store_that_leaves_counts_for_nothing_new() {
+fn a_leaving_store_counts_for_nothing_new() {
     let mut s = Stores::new();
-    s.replace(1);
+    s.start_replacement(1);
     s.run(1_000);
-    s.cut.insert(daemon(THIRD));
+    s.cut_off.insert(daemon(THIRD));
     let before = s.leader().committed;
     let op = s.leader().durable;
-    s.asked += 1;
+    s.last_request_id += 1;
     let body = Bytes::from_static(b"late");
-    s.carry(s.asked, body);
+    s.submit(s.last_request_id, body);
     s.run(2_000);
-    assert!(s.leader().durable > op, "written here");
+    assert!(s.leader().durable > op, "not written at the leader");
     assert_eq!(s.leader().committed, before);
     assert!(s.accepted.is_empty());
-    // The joiner has the seat: it counts, once it has the op.
-    s.set[1] = (daemon(JOINER), s.mark(JOINER));
-    s.swap = None;
+    // The joining store is in the write set: it counts, once it has the op.
+    s.write_set[1] = (daemon(JOINING), s.mark(JOINING));
+    s.replacement = None;
     s.run(3_000);
-    assert_eq!((s.accepted.len(), s.has(JOINER)), (1, 1));
+    assert_eq!((s.accepted.len(), s.record_count(JOINING)), (1, 1));
 }
 
 #[test]
-fn in_a_set_of_five_a_message_is_accepted_once_it_stands_on_three() {
-    let set = [LEADER, LEAVER, THIRD, "store-5", "store-6"];
-    let mut s = Stores::with_set(&set);
-    s.hand_in(10);
-    let copies = set.iter().filter(|name| s.has(name) == 10).count();
+fn in_a_write_set_of_five_a_message_is_accepted_once_it_is_on_three() {
+    let write_set = [LEADER, LEAVING, THIRD, "store-5", "store-6"];
+    let mut s = Stores::with_write_set(&write_set);
+    s.submit_and_check(10);
+    let copies = write_set.iter().filter(|name| s.record_count(name) == 10).count();
     assert!(copies >= 3, "{copies} copies");
     for name in [THIRD, "store-5", "store-6"] {
-        s.cut.insert(daemon(name));
+        s.cut_off.insert(daemon(name));
     }
-    s.asked += 1;
-    s.carry(s.asked, Bytes::from_static(b"late"));
+    s.last_request_id += 1;
+    s.submit(s.last_request_id, Bytes::from_static(b"late"));
     s.run(4_000);
-    assert_eq!(s.has(LEAVER), 11);
-    assert!(!s.accepted.contains(&11), "on two only");
-    s.cut.remove(&daemon("store-6"));
+    assert_eq!(s.record_count(LEAVING), 11);
+    assert!(!s.accepted.contains(&11), "accepted with two copies only");
+    s.cut_off.remove(&daemon("store-6"));
     s.run(4_000);
-    assert_eq!((s.accepted.contains(&11), s.has("store-6")), (true, 11));
+    assert_eq!((s.accepted.contains(&11), s.record_count("store-6")), (true, 11));
 }
 
-/// The only store of another zone is gone for good, and the leader has just
-/// opened the partition anew: it waits for a second copy in another zone.
+/// The only store of another zone has stopped for good, and the leader has just opened the
+/// partition again: it waits for a second copy in another zone.
 fn without_another_zone() -> Stores {
-    let mut s = Stores::with_set(&[LEADER, LEAVER, NEIGHBOUR]);
-    s.hand_in(20);
-    s.cut.insert(daemon(LEAVER));
+    let mut s = Stores::with_write_set(&[LEADER, LEAVING, NEIGHBOUR]);
+    s.submit_and_check(20);
+    s.cut_off.insert(daemon(LEAVING));
     s.epoch = 2;
     s.run(2_000);
     assert_eq!(s.leader().phase, Phase::AwaitingBackups);
     s
 }
 
-/// Issue 32: the successor of the only store in another zone was made whole by
-/// leaders that serve, and this one serves only once it has a copy there. The
-/// partition never opened again.
+/// Issue 32: only leaders that served gave a copy to the successor of the only store in
+/// another zone, and this leader serves only once it has a copy there. The partition never
+/// opened again.
 #[test]
-fn a_partition_that_waits_for_another_zone_makes_the_successor_whole() {
+fn a_partition_that_waits_for_another_zone_gives_the_successor_a_copy() {
     let mut s = without_another_zone();
-    s.replace(1);
+    s.start_replacement(1);
     s.run(1_500);
-    assert!(s.seat_may_move(), "the successor is never made whole");
-    s.set[1] = (daemon(JOINER), s.mark(JOINER));
-    s.swap = None;
+    assert!(s.may_change_write_set(), "the successor never gets a complete copy");
+    s.write_set[1] = (daemon(JOINING), s.mark(JOINING));
+    s.replacement = None;
     s.run(1_500);
-    assert_eq!((s.leader().phase, s.has(JOINER)), (Phase::Serving, 20));
+    assert_eq!((s.leader().phase, s.record_count(JOINING)), (Phase::Serving, 20));
 }
 
-/// The same with a store that comes back without its disk.
+/// The same with a store that restarts without its disk.
 #[test]
-fn a_partition_that_waits_for_another_zone_makes_a_lost_disk_whole() {
+fn a_partition_that_waits_for_another_zone_gives_an_empty_disk_a_copy() {
     let mut s = without_another_zone();
-    let fresh = IncarnationId(4711);
-    s.start_empty(LEAVER, fresh);
-    s.cut.clear();
+    let new_disk_id = IncarnationId(4711);
+    s.start_with_empty_disk(LEAVING, new_disk_id);
+    s.cut_off.clear();
     s.run(1_500);
-    assert!(s.report.complete_copies.contains(&(place(), daemon(LEAVER), fresh)), "the lost disk is never made whole");
-    s.set[1] = (daemon(LEAVER), fresh);
+    assert!(
+        s.report.complete_copies.contains(&(partition(), daemon(LEAVING), new_disk_id)),
+        "the empty disk never gets a complete copy"
+    );
+    s.write_set[1] = (daemon(LEAVING), new_disk_id);
     s.run(1_500);
-    assert_eq!((s.leader().phase, s.has(LEAVER)), (Phase::Serving, 20));
+    assert_eq!((s.leader().phase, s.record_count(LEAVING)), (Phase::Serving, 20));
 }
 
-/// What the leader tells operators of its partition.
+/// The leader's status, as operators see it.
 fn status(s: &mut Stores) -> String {
     let leader = s.cores.get_mut(&daemon(LEADER)).unwrap();
     let out = leader.step(Event::Request(RequestId(1), ApiRequest::Status), s.now);
@@ -337,48 +334,49 @@
 }
 
 #[test]
-fn operators_are_told_which_copies_are_lacking_and_for_how_long() {
+fn the_status_tells_which_copies_are_missing_and_for_how_long() {
     let mut s = Stores::new();
     assert!(status(&mut s).contains(r#""lacks_copies_at":[]"#));
-    s.hand_in(20);
-    s.cut.insert(daemon(LEAVER));
-    s.start_empty(LEAVER, IncarnationId(4711));
+    s.submit_and_check(20);
+    s.cut_off.insert(daemon(LEAVING));
+    s.start_with_empty_disk(LEAVING, IncarnationId(4711));
     s.run(2_000);
-    let told = status(&mut s);
-    assert!(told.contains(r#""lacks_copies_at":["store-2"]"#), "{told}");
-    assert!(!told.contains(r#""lacks_copies_ms":null"#), "{told}");
-    s.cut.clear();
+    let shown = status(&mut s);
+    assert!(shown.contains(r#""lacks_copies_at":["store-2"]"#), "{shown}");
+    assert!(!shown.contains(r#""lacks_copies_ms":null"#), "{shown}");
+    s.cut_off.clear();
     s.run(1_500);
-    s.set[1] = (daemon(LEAVER), IncarnationId(4711));
+    s.write_set[1] = (daemon(LEAVING), IncarnationId(4711));
     s.run(1_000);
     assert!(status(&mut s).contains(r#""lacks_copies_ms":null"#));
 }
 
-/// One more seat: nobody leaves, and `out` names the joiner itself.
+/// The write set grows by one store: no_files leaves, and the replacement names the joining
+/// store as the leaving one, too.
 #[test]
-fn a_store_that_joins_beside_the_others_is_made_whole_and_then_counts() {
+fn a_store_that_joins_beside_the_others_gets_a_copy_and_then_counts() {
     let mut s = Stores::new();
-    s.hand_in(20);
-    s.swap = Some((daemon(JOINER), daemon(JOINER), 1));
+    s.submit_and_check(20);
+    s.replacement = Some((daemon(JOINING), daemon(JOINING), 1));
     s.run(3_000);
-    assert!(s.seat_may_move());
-    assert_eq!(s.has(JOINER), 20);
-    // What is handed in meanwhile is accepted on the old majority.
-    s.hand_in(5);
-    assert!(s.seat_may_move(), "what came since is missing, and may be: a majority of the old set has it");
-    let joiner = (daemon(JOINER), s.mark(JOINER));
-    s.set.push(joiner);
-    s.swap = None;
+    assert!(s.may_change_write_set());
+    assert_eq!(s.record_count(JOINING), 20);
+    // What is submitted meanwhile is accepted on a majority of the old write set.
+    s.submit_and_check(5);
+    assert!(s.may_change_write_set(), "newer messages may be missing: a majority of the old write set has them");
+    let joining = (daemon(JOINING), s.mark(JOINING));
+    s.write_set.push(joining);
+    s.replacement = None;
     s.run(1_000);
     assert_eq!(s.leader().backups_needed(), 2, "three of four");
-    s.hand_in(10);
-    let full = [LEAVER, THIRD, JOINER].iter().filter(|name| s.has(name) == 35).count();
+    s.submit_and_check(10);
+    let full = [LEAVING, THIRD, JOINING].iter().filter(|name| s.record_count(name) == 35).count();
     assert!(full >= 2, "{full} of the other three have what was accepted");
-    // Two of the four go: what is left can't be accepted.
-    s.cut.insert(daemon(LEAVER));
-    s.cut.insert(daemon(JOINER));
-    s.asked += 1;
-    s.carry(s.asked, Bytes::from_static(b"too few"));
+    // Two of the four stop: nothing more can be accepted.
+    s.cut_off.insert(daemon(LEAVING));
+    s.cut_off.insert(daemon(JOINING));
+    s.last_request_id += 1;
+    s.submit(s.last_request_id, Bytes::from_static(b"too few"));
     s.run(3_000);
-    assert!(!s.accepted.contains(&s.asked), "accepted on half of the set");
+    assert!(!s.accepted.contains(&s.last_request_id), "accepted on half of the write set");
 }
--- a/crates/queue/tests/settings/mod.rs
+++ b/crates/queue/tests/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What a store under test is started with; tests change what they need.
+//! Startup settings of a store under test; tests change what they need.
 use dw_queue::prelude::*;
 
 pub fn daemon(name: &str) -> Daemon {
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -1,5 +1,5 @@
-//! Where one backup is needed, second copies are spread over the write set,
-//! whichever store answered first.
+//! Where one backup is needed, the backups of many partitions are spread over the write
+//! set, whichever store answered first.
 mod settings;
 use dw_queue::prelude::*;
 use settings::*;
@@ -17,15 +17,15 @@
     Member { disk_id: IncarnationId(hash_of(name.as_bytes())), ..member(name, &name.replace("store", "zone")) }
 }
 
-/// Three stores; what one of them says comes a step later.
+/// Three stores; what one of them sends arrives a step later.
 struct Stores {
     now: Time,
     cores: BTreeMap<Daemon, Store>,
     queue: VecDeque<(Daemon, Event)>,
-    late: VecDeque<(Daemon, Event)>,
+    delayed: VecDeque<(Daemon, Event)>,
     epoch: u64,
-    /// Questions for whole copies.
-    copies: usize,
+    /// Requests for copies.
+    copy_requests: usize,
 }
 
 impl Stores {
@@ -34,31 +34,31 @@
             now: Time::millis(1_000),
             cores: BTreeMap::new(),
             queue: VecDeque::new(),
-            late: VecDeque::new(),
+            delayed: VecDeque::new(),
             epoch: 1,
-            copies: 0,
+            copy_requests: 0,
         };
         for name in [LEADER, FAST, SLOW] {
             let me = in_own_zone(name);
-            let mark = me.disk_id;
-            let settings = Startup { pull: Span::millis(300), seed: mark.0, ..startup(me) };
-            let (core, out) = Store::new(settings, &Vec::new(), mark, stores.now);
+            let disk_id = me.disk_id;
+            let settings = Startup { pull: Span::millis(300), seed: disk_id.0, ..startup(me) };
+            let (core, out) = Store::new(settings, &Vec::new(), disk_id, stores.now);
             stores.cores.insert(daemon(name), core);
-            stores.obey(&daemon(name), out);
+            stores.handle_effects(&daemon(name), out);
         }
         stores.run(3_000);
         stores
     }
 
-    fn obey(&mut self, id: &Daemon, out: Vec<Effect>) {
+    fn handle_effects(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
             match effect {
-                Effect::Send(_, PeerMessage::Pull { requested_at: asked, .. }) => self.answer(id, asked),
-                Effect::Send(to, msg) if self.cores.contains_key(&to) => {
-                    self.copies += usize::from(matches!(msg, PeerMessage::FetchCopy { .. }));
-                    let event = Event::MessageReceived { from: id.clone(), message: msg };
+                Effect::Send(_, PeerMessage::Pull { requested_at, .. }) => self.answer_pull(id, requested_at),
+                Effect::Send(to, message) if self.cores.contains_key(&to) => {
+                    self.copy_requests += usize::from(matches!(message, PeerMessage::FetchCopy { .. }));
+                    let event = Event::MessageReceived { from: id.clone(), message };
                     match id.as_str() == SLOW {
-                        true => self.late.push_back((to, event)),
+                        true => self.delayed.push_back((to, event)),
                         false => self.queue.push_back((to, event)),
                     }
                 }
@@ -69,13 +69,13 @@
     }
 
     /// Grants all partitions to the leader.
-    fn answer(&mut self, to: &Daemon, asked: Time) {
+    fn answer_pull(&mut self, to: &Daemon, requested_at: Time) {
         let version = Version { term: Term(1), count: 1 };
         let members: Vec<Member> = [LEADER, FAST, SLOW].map(in_own_zone).to_vec();
         let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
-        let items = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
-        let grant = |part: u32| Grant {
-            duty: Duty::Lead(Rules::spool_place(part)),
+        let updates = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
+        let grant = |number: u32| Grant {
+            duty: Duty::Lead(Rules::spool_place(number)),
             epoch: Epoch { term: Term(1), count: self.epoch },
             write_set: set.clone(),
             replacement: None,
@@ -86,22 +86,22 @@
         let granted = if to.as_str() == LEADER { PARTITIONS } else { 0 };
         let grants = (0..granted).map(grant).collect();
         let fresh = Some(Span::millis(2_500));
-        let msg = PeerMessage::PullResponse {
-            requested_at: asked,
+        let message = PeerMessage::PullResponse {
+            requested_at,
             term: Term(1),
             config_valid_for: fresh,
-            updates: items,
+            updates,
             grants,
             late_stores: Vec::new(),
         };
-        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message: msg }));
+        self.queue.push_back((to.clone(), Event::MessageReceived { from: daemon("placement-1"), message }));
     }
 
-    fn drain(&mut self) {
+    fn deliver_all(&mut self) {
         while let Some((id, event)) = self.queue.pop_front() {
             let now = self.now;
             let out = self.cores.get_mut(&id).map(|core| core.step(event, now)).unwrap_or_default();
-            self.obey(&id, out);
+            self.handle_effects(&id, out);
         }
     }
 
@@ -109,19 +109,19 @@
         let end = self.now + Span::millis(ms);
         while self.now < end {
             self.now += STEP;
-            self.queue.append(&mut self.late);
+            self.queue.append(&mut self.delayed);
             for id in self.cores.keys().cloned().collect::<Vec<_>>() {
                 self.queue.push_back((id, Event::Tick));
-                self.drain();
+                self.deliver_all();
             }
         }
     }
 
     fn leader_states(&self) -> Vec<&LeaderState> {
-        self.cores[&daemon(LEADER)].parts.values().filter_map(|part| part.leader_state.as_ref()).collect()
+        self.cores[&daemon(LEADER)].parts.values().filter_map(|number| number.leader_state.as_ref()).collect()
     }
 
-    /// How many partitions have their second copy at each store.
+    /// How many partitions have their backup at each store.
     fn backups(&self) -> BTreeMap<String, usize> {
         let mut backups = BTreeMap::new();
         for leader_state in self.leader_states() {
@@ -135,41 +135,41 @@
 }
 
 #[test]
-fn second_copies_are_not_all_at_the_store_that_answered_first() {
+fn backups_are_not_all_at_the_store_that_answered_first() {
     let stores = Stores::new();
     let backups = stores.backups();
     assert_eq!(stores.leader_states().len(), PARTITIONS as usize);
     assert!(backups.values().all(|count| *count >= 2) && backups.len() == 2, "{backups:?}");
-    assert_eq!(stores.copies, 0, "all of them stood alike");
+    assert_eq!(stores.copy_requests, 0, "no store lacked anything");
 }
 
 #[test]
-fn a_store_that_would_need_a_copy_is_not_drawn_in() {
+fn a_store_that_would_need_a_copy_does_not_become_a_backup() {
     let mut stores = Stores::new();
     let before = stores.backups();
-    // Each partition goes on with its backup alone; then all are opened anew.
-    for part in 0..PARTITIONS {
+    // Each partition replicates to its backup alone; then all are opened again.
+    for number in 0..PARTITIONS {
         let body = Bytes::from_static(b"body");
-        let id = MessageId(format!("m{part}"));
-        let head = MessageHeader { id, crc: crc32(&body), len: 4, ..MessageHeader::default() };
-        let msg = PeerMessage::Submit {
-            request_id: u64::from(part),
+        let id = MessageId(format!("m{number}"));
+        let header = MessageHeader { id, crc: crc32(&body), len: 4, ..MessageHeader::default() };
+        let message = PeerMessage::Submit {
+            request_id: u64::from(number),
             proxy: daemon("proxy-1"),
             via: None,
             wants_refusal: false,
-            partition: Rules::spool_place(part),
+            partition: Rules::spool_place(number),
             version: Version::ZERO,
-            header: head,
+            header,
             body,
             age_bound: None,
             refusal: None,
         };
-        stores.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message: msg }));
+        stores.queue.push_back((daemon(LEADER), Event::MessageReceived { from: daemon("proxy-1"), message }));
     }
     stores.run(1_000);
     stores.epoch = 2;
     stores.run(4_000);
     let after = stores.backups();
     assert_eq!(after.values().sum::<usize>(), PARTITIONS as usize);
-    assert_eq!(stores.copies, 0, "{before:?} to {after:?}");
+    assert_eq!(stores.copy_requests, 0, "{before:?} to {after:?}");
 }
--- a/crates/queue/tests/pair/mod.rs
+++ b/crates/queue/tests/store_pair/mod.rs
@@ -1,20 +1,20 @@
-//! Two stores of one partition of routed messages, the first of which keeps
-//! it; the second only acknowledges.
+//! Two stores of one partition of routed messages: the first leads it, the second only
+//! acknowledges.
 #![allow(dead_code)]
 use crate::settings::*;
 use dw_queue::prelude::*;
 use std::collections::BTreeMap;
 
 pub const NOW: Time = Time::millis(10_000);
-pub const FIRST: IncarnationId = IncarnationId(7);
-pub const SECOND: IncarnationId = IncarnationId(5);
+pub const FIRST_INCARNATION: IncarnationId = IncarnationId(7);
+pub const SECOND_INCARNATION: IncarnationId = IncarnationId(5);
 pub const TERM: Term = Term(1);
 pub const ROUTES: &str = r#"{"revision": 1, "spool": 1,
   "services": [{"name": "sheets", "slots": 4}],
   "routes": [{"name": "bulk", "host": "h", "prefix": "/", "service": "sheets", "attempts": 3,
               "attempt_ms": 1000, "worth_ms": 60000}]}"#;
 
-pub fn place() -> PartitionId {
+pub fn partition() -> PartitionId {
     PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 }
 }
 
@@ -22,56 +22,56 @@
     Epoch { term: TERM, count: 1 }
 }
 
-pub struct Pair {
+pub struct StorePair {
     pub now: Time,
-    pub stores: [Store; 2],
+    pub cores: [Store; 2],
     pub offers: Vec<Offer>,
-    /// Told to the proxy.
-    pub told: Vec<SubmitOutcome>,
-    /// Bodies that a store asked a replica outside of the pair for.
-    pub wanted: Vec<MessageId>,
-    /// What each store saved.
+    /// Responses to the proxy.
+    pub responses: Vec<SubmitOutcome>,
+    /// Bodies that a store requested from a replica outside the stores.
+    pub requested_bodies: Vec<MessageId>,
+    /// The files that each store saved.
     pub files: [BTreeMap<String, Bytes>; 2],
 }
 
-impl Pair {
-    pub fn new() -> Pair {
+impl StorePair {
+    pub fn new() -> StorePair {
         let store = |n: u64| {
             let me = Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
             Store::new(startup(me), &Vec::new(), IncarnationId(n), NOW).0
         };
-        let mut pair = Pair {
+        let mut stores = StorePair {
             now: NOW,
-            stores: [store(1), store(2)],
+            cores: [store(1), store(2)],
             offers: Vec::new(),
-            told: Vec::new(),
-            wanted: Vec::new(),
+            responses: Vec::new(),
+            requested_bodies: Vec::new(),
             files: Default::default(),
         };
         for at in [0, 1] {
-            pair.step(at, Event::Saved(1));
+            stores.step(at, Event::Saved(1));
         }
-        pair.run(Span::millis(600));
-        pair
+        stores.run(Span::millis(600));
+        stores
     }
 
     pub fn step(&mut self, at: usize, event: Event) {
-        let out = self.stores[at].step(event, self.now);
+        let out = self.cores[at].step(event, self.now);
         for effect in out {
             match effect {
                 Effect::Save { n, name, bytes } => {
                     self.files[at].insert(name, bytes);
                     self.step(at, Event::Saved(n));
                 }
-                Effect::Send(_, PeerMessage::FetchBodies { ids, .. }) => self.wanted.extend(ids),
-                Effect::Send(_, PeerMessage::SubmitResponse { outcome: word, .. }) => self.told.push(word),
-                Effect::Send(to, msg) if to == daemon(&format!("store-{}", 2 - at)) => {
+                Effect::Send(_, PeerMessage::FetchBodies { ids, .. }) => self.requested_bodies.extend(ids),
+                Effect::Send(_, PeerMessage::SubmitResponse { outcome, .. }) => self.responses.push(outcome),
+                Effect::Send(to, message) if to == daemon(&format!("store-{}", 2 - at)) => {
                     let from = daemon(&format!("store-{}", at + 1));
-                    self.step(1 - at, Event::MessageReceived { from, message: msg });
+                    self.step(1 - at, Event::MessageReceived { from, message });
                 }
-                Effect::Send(to, PeerMessage::Pull { requested_at: asked, .. }) => {
-                    let msg = self.news(at, asked);
-                    self.step(at, Event::MessageReceived { from: to, message: msg });
+                Effect::Send(to, PeerMessage::Pull { requested_at, .. }) => {
+                    let message = self.pull_response(at, requested_at);
+                    self.step(at, Event::MessageReceived { from: to, message });
                 }
                 Effect::Send(_, PeerMessage::Offers { entries: all, .. }) => self.offers.extend(all),
                 _ => {}
@@ -79,17 +79,17 @@
         }
     }
 
-    pub fn news(&self, at: usize, asked: Time) -> PeerMessage {
+    pub fn pull_response(&self, at: usize, requested_at: Time) -> PeerMessage {
         let version = Version { term: TERM, count: 1 };
         let member_of = |n: u64| Member { disk_id: IncarnationId(n), ..member(&format!("store-{n}"), &format!("z{n}")) };
-        let placing = PartitionLocation { leader: daemon("store-1"), epoch: epoch() };
-        let items = vec![
+        let location = PartitionLocation { leader: daemon("store-1"), epoch: epoch() };
+        let updates = vec![
             (version, Update::Config(ROUTES.to_string())),
             (version, Update::Members(vec![member_of(1), member_of(2)])),
-            (version, Update::Partitions(vec![(place(), placing)])),
+            (version, Update::Partitions(vec![(partition(), location)])),
         ];
         let set = (1..=2).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
-        let duty = Duty::Lead(place());
+        let duty = Duty::Lead(partition());
         let grant = Grant {
             duty,
             epoch: epoch(),
@@ -101,10 +101,10 @@
         };
         let grants = if at == 0 { vec![grant] } else { Vec::new() };
         PeerMessage::PullResponse {
-            requested_at: asked,
+            requested_at,
             term: TERM,
             config_valid_for: Some(Span::secs(2)),
-            updates: items,
+            updates,
             grants,
             late_stores: Vec::new(),
         }
@@ -120,10 +120,10 @@
         }
     }
 
-    /// A proxy hands the message in; gives what it is told.
-    pub fn carry(&mut self) -> Vec<SubmitOutcome> {
+    /// A proxy submits the message; returns the responses to it.
+    pub fn submit(&mut self) -> Vec<SubmitOutcome> {
         let body = Bytes::from_static(b"body");
-        let head = MessageHeader {
+        let header = MessageHeader {
             id: MessageId("0-1".into()),
             crc: crc32(&body),
             len: body.len() as u32,
@@ -131,14 +131,14 @@
             caller_request: Some(Box::default()),
             ..MessageHeader::default()
         };
-        let msg = PeerMessage::Submit {
+        let message = PeerMessage::Submit {
             request_id: 1,
             proxy: daemon("proxy-1"),
             via: None,
             wants_refusal: true,
-            partition: place(),
+            partition: partition(),
             version: Version { term: TERM, count: 1 },
-            header: head,
+            header,
             body,
             age_bound: Some(AgeBound {
                 clock: Some(ClockReading { incarnation: IncarnationId(1), at: self.now }),
@@ -146,21 +146,16 @@
             }),
             refusal: None,
         };
-        self.step(0, Event::MessageReceived { from: daemon("proxy-1"), message: msg });
-        std::mem::take(&mut self.told)
+        self.step(0, Event::MessageReceived { from: daemon("proxy-1"), message });
+        std::mem::take(&mut self.responses)
     }
 
-    /// The delivery, in one of its lives, says what it takes.
-    pub fn reach(&mut self, life: IncarnationId, asked: Time) {
-        let reach = RoutedCapacity { incarnation: life, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
-        let places = vec![(place(), epoch())];
-        let msg = PeerMessage::Capacity {
-            requested_at: asked,
-            duties: Vec::new(),
-            partitions: places,
-            in_flight: Vec::new(),
-            routed: Some(reach),
-        };
-        self.step(0, Event::MessageReceived { from: daemon("delivery-1"), message: msg });
+    /// The delivery, in one of its incarnations, reports its capacity.
+    pub fn report_capacity(&mut self, incarnation: IncarnationId, requested_at: Time) {
+        let capacity = RoutedCapacity { incarnation, services: vec![("sheets".into(), 4)], addresses: Vec::new() };
+        let partitions = vec![(partition(), epoch())];
+        let message =
+            PeerMessage::Capacity { requested_at, duties: Vec::new(), partitions, in_flight: Vec::new(), routed: Some(capacity) };
+        self.step(0, Event::MessageReceived { from: daemon("delivery-1"), message });
     }
 }
