--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -1,191 +1,201 @@
-//! Operations sent to the backups, their acknowledgements, and what stands.
+//! Replication: operations sent to the backups, their acknowledgements, and the commit
+//! position.
 use crate::prelude::*;
 
 impl Store {
-    /// Sends each backup what it lacks of the latest ops.
-    pub(super) fn spread(&mut self, place: &PartitionId, now: Time) {
-        let Some(own) = self.parts.get(place).and_then(|p| p.leader_state.as_ref()) else { return };
-        for backup in own.backups.keys().cloned().collect::<Vec<_>>() {
-            self.spread_to(place, &backup, now);
+    /// Sends each backup the operations that it lacks.
+    pub(super) fn replicate(&mut self, partition: &PartitionId, now: Time) {
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
+        for backup in lead.backups.keys().cloned().collect::<Vec<_>>() {
+            self.replicate_to(partition, &backup, now);
         }
     }
 
-    fn spread_to(&mut self, place: &PartitionId, backup: &Daemon, now: Time) {
-        let Some(p) = self.parts.get_mut(place) else { return };
-        let Some(own) = p.leader_state.as_mut() else { return };
-        let top = p.last_op;
-        let epoch = own.epoch;
-        let Some(have) = own.peers.get(backup).and_then(|s| s.synced_op) else { return };
-        let sent = own.peers.get(backup).map_or(have, |s| s.sent_op).max(have);
-        if sent >= top || sent - have > 4 * 1024 {
+    fn replicate_to(&mut self, partition: &PartitionId, backup: &Daemon, now: Time) {
+        let Some(part) = self.partitions.get_mut(partition) else { return };
+        let Some(lead) = part.leader_state.as_mut() else { return };
+        let last_op = part.last_op;
+        let epoch = lead.epoch;
+        let Some(acknowledged) = lead.peers.get(backup).and_then(|s| s.synced_op) else { return };
+        let sent = lead.peers.get(backup).map_or(acknowledged, |s| s.sent_op).max(acknowledged);
+        if sent >= last_op || sent - acknowledged > 4 * 1024 {
             return;
         }
-        let Some(ops) = own.retained_ops_from(sent + 1, top) else {
-            // Too far behind for the ops kept: it copies the whole.
-            if let Some(s) = own.peers.get_mut(backup) {
+        let Some(ops) = lead.retained_ops_from(sent + 1, last_op) else {
+            // The operations it lacks are no longer kept: it needs a complete copy.
+            if let Some(s) = lead.peers.get_mut(backup) {
                 (s.synced_op, s.must_fetch) = (None, true);
             }
             return;
         };
-        if let Some(s) = own.peers.get_mut(backup) {
+        if let Some(s) = lead.peers.get_mut(backup) {
             s.record_sent(sent + ops.len() as u64, now);
-            if s.sent_op < top {
-                self.dirty.insert(place.clone());
+            if s.sent_op < last_op {
+                self.to_replicate.insert(partition.clone());
             }
         }
-        self.say(backup, PeerMessage::Append { partition: place.clone(), epoch, first: sent + 1, ops });
+        self.send(backup, PeerMessage::Append { partition: partition.clone(), epoch, first: sent + 1, ops });
     }
 
     pub(super) fn on_append(
         &mut self,
         from: Daemon,
-        place: PartitionId,
+        partition: PartitionId,
         epoch: Epoch,
         first: u64,
         ops: Vec<PartitionOp>,
         now: Time,
     ) {
-        // Unacknowledged, the second copy goes to another peer.
-        if self.refuses_writes() {
+        // Without an acknowledgement the leader chooses another backup.
+        if self.is_disk_stuck() {
             return;
         }
-        let p = self.parts.entry(place.clone()).or_default();
-        if epoch < p.promised_epoch {
-            let promised = p.promised_epoch;
-            self.counts.fenced += 1;
-            return self.say(&from, PeerMessage::FenceRefused { partition: place, promised_epoch: promised });
+        let part = self.partitions.entry(partition.clone()).or_default();
+        if epoch < part.promised_epoch {
+            let promised = part.promised_epoch;
+            self.counts.fenced_requests += 1;
+            return self.send(&from, PeerMessage::FenceRefused { partition, promised_epoch: promised });
         }
-        if p.installed_epoch != epoch || first > p.last_op + 1 {
-            let (installed, n) = (p.installed_epoch, p.last_op);
-            return self.say(&from, PeerMessage::AppendGap { partition: place, epoch, installed_epoch: installed, last_op: n });
+        if part.installed_epoch != epoch || first > part.last_op + 1 {
+            let (installed, n) = (part.installed_epoch, part.last_op);
+            return self.send(&from, PeerMessage::AppendGap { partition, epoch, installed_epoch: installed, last_op: n });
         }
-        let home = self.ledger.next_save();
+        let file_version = self.ledger.next_save();
         for (at, op) in ops.into_iter().enumerate() {
             let n = first + at as u64;
-            if n <= p.last_op {
+            if n <= part.last_op {
                 continue;
             }
-            if let PartitionOp::Put(head, _, body) = &op {
-                if !head.matches(body) {
+            if let PartitionOp::Put(header, _, body) = &op {
+                if !header.matches(body) {
                     break;
                 }
             }
-            self.held_bytes += p.apply(&place, &op, home, now, &mut self.ledger);
-            self.cache.note(&place, &op);
-            p.last_op = n;
-            self.ledger.push(JournalEntry::Op { partition: place.clone(), number: n, op });
+            self.held_bytes += part.apply(&partition, &op, file_version, now, &mut self.ledger);
+            self.body_cache.insert_op(&partition, &op);
+            part.last_op = n;
+            self.ledger.push(JournalEntry::Op { partition: partition.clone(), number: n, op });
         }
-        let upto = p.last_op;
-        self.later(SyncAction::AcknowledgeOps { to: from, partition: place, epoch, up_to: upto });
+        let up_to = part.last_op;
+        self.after_sync(SyncAction::AcknowledgeOps { to: from, partition, epoch, up_to });
     }
 
     pub(super) fn on_appended(
         &mut self,
         from: Daemon,
-        place: PartitionId,
+        partition: PartitionId,
         epoch: Epoch,
-        upto: u64,
-        mark: IncarnationId,
+        up_to: u64,
+        disk_id: IncarnationId,
         now: Time,
     ) {
-        let Some(p) = self.parts.get_mut(&place) else { return };
-        let top = p.last_op;
-        let Some(own) = p.leader_state.as_mut() else { return };
-        if own.epoch != epoch || upto > top {
+        let Some(part) = self.partitions.get_mut(&partition) else { return };
+        let last_op = part.last_op;
+        let Some(lead) = part.leader_state.as_mut() else { return };
+        if lead.epoch != epoch || up_to > last_op {
             return;
         }
-        let counts = own.is_counted(&from, mark);
-        // The last op it lacks must be kept, if it lacks any.
-        let kept = upto == top || own.retained_op(upto + 1, top).is_some();
-        let peer = own.peers.entry(from.clone()).or_default();
-        peer.must_fetch = !kept;
-        peer.record_ack(upto, now);
-        peer.disk_id = mark;
-        let first = peer.synced_op.is_none();
-        peer.synced_op = Some(peer.synced_op.unwrap_or(0).max(upto));
-        peer.sent_op = peer.sent_op.max(upto);
-        if first {
-            peer.sent_op = upto;
-        }
-        if !counts {
-            if !own.is_copy_sufficient(&from, upto) {
-                // Made for an earlier replacement: it is copied once more.
-                let Some(peer) = own.peers.get_mut(&from) else { return };
+        let is_counted = lead.is_counted(&from, disk_id);
+        // If it lacks operations, the first of them has to be kept here still.
+        let is_resendable = up_to == last_op || lead.retained_op(up_to + 1, last_op).is_some();
+        let peer = lead.peers.entry(from.clone()).or_default();
+        peer.must_fetch = !is_resendable;
+        peer.record_ack(up_to, now);
+        peer.disk_id = disk_id;
+        let is_first_acknowledgement = peer.synced_op.is_none();
+        peer.synced_op = Some(peer.synced_op.unwrap_or(0).max(up_to));
+        peer.sent_op = peer.sent_op.max(up_to);
+        if is_first_acknowledgement {
+            peer.sent_op = up_to;
+        }
+        if !is_counted {
+            if !lead.is_copy_sufficient(&from, up_to) {
+                // The copy was made for an earlier replacement and lacks operations: it
+                // is made again.
+                let Some(peer) = lead.peers.get_mut(&from) else { return };
                 (peer.synced_op, peer.must_fetch, peer.last_request) = (None, true, Time(0));
                 return;
             }
-            // A copy made whole under a new mark: placement may count it now.
-            if own.complete_copies.insert(from, mark) != Some(mark) {
+            // A complete copy under a new disk id: placement may count it from now on.
+            if lead.complete_copies.insert(from, disk_id) != Some(disk_id) {
                 self.link.pull_now(now);
             }
             return;
         }
-        own.complete_copies.remove(&from);
-        own.remove_copying_peer(&from);
-        self.dirty.insert(place.clone());
-        self.commit(&place, now);
+        lead.complete_copies.remove(&from);
+        lead.remove_copying_peer(&from);
+        self.to_replicate.insert(partition.clone());
+        self.advance_commit(&partition, now);
     }
 
-    pub(super) fn on_gap(&mut self, from: Daemon, place: PartitionId, epoch: Epoch, installed: Epoch, n: u64, now: Time) {
-        let Some(own) = self.parts.get_mut(&place).and_then(|p| p.leader_state.as_mut()) else { return };
-        if own.epoch != epoch {
+    pub(super) fn on_append_gap(
+        &mut self,
+        from: Daemon,
+        partition: PartitionId,
+        epoch: Epoch,
+        installed_epoch: Epoch,
+        last_op: u64,
+        now: Time,
+    ) {
+        let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        if lead.epoch != epoch {
             return;
         }
-        let was = own.recovered_state;
-        let mark = own.write_set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
-        let Some(peer) = own.peers.get_mut(&from) else { return };
+        let expected = lead.recovered_state;
+        let disk_id = lead.write_set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
+        let Some(peer) = lead.peers.get_mut(&from) else { return };
         peer.last_contact = now;
-        if installed == epoch {
-            peer.sent_op = n;
-            peer.synced_op = peer.synced_op.map(|h| h.min(n));
-            self.dirty.insert(place);
+        if installed_epoch == epoch {
+            peer.sent_op = last_op;
+            peer.synced_op = peer.synced_op.map(|h| h.min(last_op));
+            self.to_replicate.insert(partition);
             return;
         }
         peer.synced_op = None;
         peer.last_request = now;
-        self.say(&from, PeerMessage::Lagging { partition: place, epoch, expected: was, disk_id: mark, must_fetch: false });
+        self.send(&from, PeerMessage::Lagging { partition, epoch, expected, disk_id, must_fetch: false });
     }
 
-    pub(super) fn own_durable(&mut self, place: &PartitionId, epoch: Epoch, upto: u64, now: Time) {
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
-        if own.epoch != epoch {
+    pub(super) fn on_own_ops_synced(&mut self, partition: &PartitionId, epoch: Epoch, up_to: u64, now: Time) {
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        if lead.epoch != epoch {
             return;
         }
-        own.adoption_synced = true;
-        own.durable = own.durable.max(upto);
-        self.commit(place, now);
+        lead.adoption_synced = true;
+        lead.durable = lead.durable.max(up_to);
+        self.advance_commit(partition, now);
     }
 
-    /// What is synced here and on enough counting peers, one of them in
-    /// another zone, stands.
-    pub(super) fn commit(&mut self, place: &PartitionId, now: Time) {
+    /// Advances the commit position: an operation is committed once it is synced here and
+    /// on enough peers that count, at least one of them in another zone.
+    pub(super) fn advance_commit(&mut self, partition: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
-        if !own.adoption_synced {
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        if !lead.adoption_synced {
             return;
         }
-        let leaves = |d: &Daemon| own.replacement.as_ref().is_some_and(|s| s.0 == *d);
-        let far = |d: &Daemon| members.get(d).is_some_and(|m| m.zone != zone);
-        let mut copies: Vec<(u64, bool)> = own
+        let is_leaving = |d: &Daemon| lead.replacement.as_ref().is_some_and(|s| s.0 == *d);
+        let is_in_other_zone = |d: &Daemon| members.get(d).is_some_and(|m| m.zone != zone);
+        let mut copies: Vec<(u64, bool)> = lead
             .peers
             .iter()
-            .filter(|(d, s)| own.is_counted(d, s.disk_id) && !leaves(d))
-            .filter_map(|(d, s)| Some((s.synced_op?, far(d))))
+            .filter(|(d, s)| lead.is_counted(d, s.disk_id) && !is_leaving(d))
+            .filter_map(|(d, s)| Some((s.synced_op?, is_in_other_zone(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
-        let Some(enough) = copies.get(own.backups_needed() - 1).map(|c| c.0) else { return };
-        let Some(elsewhere) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
-        let best = enough.min(elsewhere);
-        if own.phase == Phase::AwaitingBackups {
-            self.turn(place, Phase::Serving, now);
-        }
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
-        own.committed = own.committed.max(best.min(own.durable));
-        let rest = own.commit_actions.split_off(&(own.committed + 1));
-        let done = std::mem::replace(&mut own.commit_actions, rest);
-        for wait in done.into_values().flatten() {
-            self.committed(place, wait, now);
+        let Some(on_enough_copies) = copies.get(lead.backups_needed() - 1).map(|c| c.0) else { return };
+        let Some(in_other_zone) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
+        let committable = on_enough_copies.min(in_other_zone);
+        if lead.phase == Phase::AwaitingBackups {
+            self.set_phase(partition, Phase::Serving, now);
+        }
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        lead.committed = lead.committed.max(committable.min(lead.durable));
+        let still_waiting = lead.commit_actions.split_off(&(lead.committed + 1));
+        let committed = std::mem::replace(&mut lead.commit_actions, still_waiting);
+        for wait in committed.into_values().flatten() {
+            self.on_committed(partition, wait, now);
         }
     }
 }
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -1,78 +1,86 @@
-//! What the log and the counts tell of attempts that did not end as their
-//! leader counted on.
+//! Attempts that did not end as their leader expected: log events, counters and
+//! requeueing.
 use crate::prelude::*;
 
 impl Store {
-    /// Attempts whose end passed without a word: their messages go on. After a
-    /// standstill the words that lie unread are heard first.
-    pub(super) fn lapse_overdue(&mut self, place: &PartitionId, now: Time) {
+    /// Handles attempts whose deadline passed without a result: their messages go on.
+    /// After a standstill of this process, the messages that wait unread are processed
+    /// first, as they may contain the results.
+    pub(super) fn expire_overdue_attempts(&mut self, partition: &PartitionId, now: Time) {
         if self.standstill.is_catching_up(now) {
             return;
         }
-        let Some(own) = self.parts.get_mut(place).and_then(|p| p.leader_state.as_mut()) else { return };
-        let mut over = Vec::new();
-        for (seq, flight) in own.queues.take_overdue(now) {
-            own.overdue_attempts.record_overdue(flight.attempt, flight.deadline);
-            *self.mute.entry(flight.duty.clone()).or_default() += 1;
-            over.extend(own.queues.ids.get(&seq).map(|id| (id.clone(), flight)));
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        let mut expired = Vec::new();
+        for (seq, flight) in lead.queues.take_overdue(now) {
+            lead.overdue_attempts.record_overdue(flight.attempt, flight.deadline);
+            *self.unreported_in_a_row.entry(flight.duty.clone()).or_default() += 1;
+            expired.extend(lead.queues.ids.get(&seq).map(|id| (id.clone(), flight)));
         }
-        for (id, flight) in over {
-            self.counts.lapsed += 1;
-            self.note(LogEvent::AttemptEndUnreported, format!("{place} {id} attempt {} at {}", flight.attempt, flight.delivery));
-            self.lapsed(place, &id, now);
+        for (id, flight) in expired {
+            self.counts.unreported_attempts += 1;
+            self.log(
+                LogEvent::AttemptEndUnreported,
+                format!("{partition} {id} attempt {} at {}", flight.attempt, flight.delivery),
+            );
+            self.on_attempt_expired(partition, &id, now);
         }
     }
 
-    /// Whether a record that was taken out of a line may be handed out: for
-    /// work while its work is not over, for a call-back while one is owed. Any
-    /// other must stand in no line.
-    pub(super) fn may_hand_out(&mut self, place: &PartitionId, id: &MessageId, call_back: bool) -> bool {
-        let stage = self.parts.get(place).and_then(|p| p.records.get(id)).map(|r| r.stage);
+    /// Whether a message taken from a ready queue may be dispatched: for an attempt while
+    /// it is pending, for a call-back while one is owed. Any other message must not be in
+    /// a queue, so that is logged as a fault.
+    pub(super) fn may_dispatch(&mut self, partition: &PartitionId, id: &MessageId, is_callback: bool) -> bool {
+        let stage = self.partitions.get(partition).and_then(|part| part.records.get(id)).map(|record| record.stage);
         let fits = match stage {
-            Some(Stage::Pending) => !call_back,
-            Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => call_back,
+            Some(Stage::Pending) => !is_callback,
+            Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => is_callback,
             Some(Stage::Ended(_)) | None => false,
         };
         if fits {
             return true;
         }
-        self.counts.ended_handed_out += 1;
-        self.note(LogEvent::EndedMessageDequeued, format!("{place} {id}"));
+        self.counts.ended_messages_dequeued += 1;
+        self.log(LogEvent::EndedMessageDequeued, format!("{partition} {id}"));
         false
     }
 
-    /// An open message that nothing would ever run again: it waits from now on,
-    /// or until the rest at the opening is over.
-    pub(super) fn let_in_again(&mut self, place: &PartitionId, id: &MessageId, now: Time) {
-        let Some(p) = self.parts.get_mut(place) else { return };
-        let (Some(own), Some(r)) = (p.leader_state.as_mut(), p.records.get(id)) else { return };
-        own.queues.ids.insert(r.header.seq, id.clone());
-        own.queues.enqueue_routed(&r.header.route, &r.header.key, own.hold_until.max(now), r.header.seq);
-        self.counts.stranded += 1;
-        self.note(LogEvent::StrandedMessageRequeued, format!("{place} {id}"));
+    /// Puts a pending message that is in no queue back into its route's queue; otherwise
+    /// nothing would ever run it again. It becomes due now, or when the waiting period
+    /// after the opening ends.
+    pub(super) fn requeue_stranded(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
+        let Some(part) = self.partitions.get_mut(partition) else { return };
+        let (Some(lead), Some(record)) = (part.leader_state.as_mut(), part.records.get(id)) else { return };
+        lead.queues.ids.insert(record.header.seq, id.clone());
+        lead.queues.enqueue_routed(&record.header.route, &record.header.key, lead.hold_until.max(now), record.header.seq);
+        self.counts.stranded_requeued += 1;
+        self.log(LogEvent::StrandedMessageRequeued, format!("{partition} {id}"));
     }
 
-    /// Judges a success of an attempt that is not under way here.
-    pub(super) fn judge_success(&mut self, from: &Daemon, told: &AttemptResult, now: Time) {
-        let Some(p) = self.parts.get_mut(&told.partition) else { return };
-        let Some(own) = p.leader_state.as_mut() else { return };
+    /// Checks a success of an attempt that this leader does not consider in flight. Logs
+    /// whether it was only reported late or ran past its deadline.
+    pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
+        let Some(part) = self.partitions.get_mut(&result.partition) else { return };
+        let Some(lead) = part.leader_state.as_mut() else { return };
         let unread = self.standstill.max_read_delay(now);
-        let Some(late) = own.overdue_attempts.classify_success(told, own.epoch, own.hold_until, unread, now) else { return };
-        let seq = p.records.get(&told.id).map(|r| r.header.seq);
-        let again = seq.and_then(|seq| own.queues.in_flight.get(&seq)).map(|f| f.attempt);
-        let again = again.map_or(String::from("none under way now"), |n| format!("attempt {n} under way now"));
-        let text =
-            format!("{} {} attempt {} of epoch {} at {from}: {late}, {again}", told.partition, told.id, told.attempt, told.epoch);
-        let note = match late.is_violation() {
+        let Some(late) = lead.overdue_attempts.classify_success(result, lead.epoch, lead.hold_until, unread, now) else { return };
+        let seq = part.records.get(&result.id).map(|record| record.header.seq);
+        let current = seq.and_then(|seq| lead.queues.in_flight.get(&seq)).map(|f| f.attempt);
+        let current = current.map_or(String::from("no attempt in flight now"), |n| format!("attempt {n} in flight now"));
+        let text = format!(
+            "{} {} attempt {} of epoch {} at {from}: {late}, {current}",
+            result.partition, result.id, result.attempt, result.epoch
+        );
+        let event = match late.is_violation() {
             true => {
-                self.counts.outlived += 1;
+                self.counts.overrun_attempts += 1;
                 LogEvent::AttemptOverran
             }
             false => {
-                self.counts.told_late += 1;
+                self.counts.late_successes += 1;
                 LogEvent::LateSuccess
             }
         };
-        self.note(note, text);
+        self.log(event, text);
     }
 }
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -1,140 +1,155 @@
-//! What a store sees to now and then, whatever is asked of it: records whose
-//! time is over, duties that nobody takes, and files that are mostly waste.
-use super::Parked;
+//! Periodic maintenance: removing records past their retention, tracking duties that
+//! nobody serves, and rewriting files that are mostly garbage.
+use super::BodyWaiter;
 use crate::prelude::*;
 
-/// Beyond the reading time, for a copy that nobody tends.
-const FORGET: Span = Span::secs(30);
-/// How much of the oldest file is written again in one second.
-const CLEAN: u64 = 2 << 20;
+/// A replica drops ended records by itself this much later than its leader would.
+const REPLICA_RETENTION_MARGIN: Span = Span::secs(30);
+/// Bytes of the oldest file that are rewritten in one second at most.
+const MAX_REWRITE_BYTES: u64 = 2 << 20;
 
 impl Store {
-    /// Each second: attempts past their hard end, messages past their reading
-    /// time or their worth, and the oldest files.
-    pub(super) fn sweep(&mut self, now: Time) {
+    /// Runs every second: handles attempts past their deadline, messages past their
+    /// retention or expiry, and the oldest file.
+    pub(super) fn run_maintenance(&mut self, now: Time) {
         let retain = self.link.rules.retain;
-        let owned: Vec<PartitionId> = self.parts.keys().filter(|p| self.serving(p, now)).cloned().collect();
-        for place in owned {
-            self.lapse_overdue(&place, now);
-            let Some(p) = self.parts.get_mut(&place) else { continue };
-            let Some(own) = p.leader_state.as_mut() else { continue };
-            // Kept-back successes whose other attempts are over by now.
-            let (quiet, lane) = (own.hold_until, &own.queues);
-            let sure: Vec<MessageId> = own
+        let led: Vec<PartitionId> = self.partitions.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
+        for partition in led {
+            self.expire_overdue_attempts(&partition, now);
+            let Some(part) = self.partitions.get_mut(&partition) else { continue };
+            let Some(lead) = part.leader_state.as_mut() else { continue };
+            // Deferred successes whose other attempts are over by now.
+            let (quiet, lane) = (lead.hold_until, &lead.queues);
+            let to_release: Vec<MessageId> = lead
                 .unpublished_successes
                 .iter()
                 .filter(|s| !lane.in_flight.contains_key(s) && !lane.is_held(**s, quiet, now))
                 .filter_map(|s| lane.ids.get(s).cloned())
                 .collect();
-            let mut drop = Vec::new();
-            let mut old = Vec::new();
+            let mut to_drop = Vec::new();
+            let mut expired = Vec::new();
             let mut stranded = Vec::new();
-            for (id, r) in &p.records {
-                match r.stage {
-                    Stage::Ended(_) if retain > Span::ZERO && now.since(r.ended_at) > retain => drop.push(id.clone()),
+            for (id, record) in &part.records {
+                match record.stage {
+                    Stage::Ended(_) if retain > Span::ZERO && now.since(record.ended_at) > retain => to_drop.push(id.clone()),
                     Stage::Pending
-                        if r.header.ttl.is_some_and(|t| now.since(r.received_at) > t)
-                            && !own.queues.in_flight.contains_key(&r.header.seq)
-                            && !own.unpublished_successes.contains(&r.header.seq) =>
+                        if record.header.ttl.is_some_and(|t| now.since(record.received_at) > t)
+                            && !lead.queues.in_flight.contains_key(&record.header.seq)
+                            && !lead.unpublished_successes.contains(&record.header.seq) =>
                     {
-                        old.push(id.clone());
+                        expired.push(id.clone());
                     }
                     Stage::Pending
-                        if !r.header.route.is_empty()
-                            && !own.visible_stages.contains_key(id)
-                            && !own.queues.is_tracked(&r.header) =>
+                        if !record.header.route.is_empty()
+                            && !lead.visible_stages.contains_key(id)
+                            && !lead.queues.is_tracked(&record.header) =>
                     {
                         stranded.push(id.clone());
                     }
                     _ => {}
                 }
             }
-            for id in sure {
-                self.settle_won(&place, &id, now);
+            for id in to_release {
+                self.release_deferred_success(&partition, &id, now);
             }
             for id in stranded {
-                self.let_in_again(&place, &id, now);
+                self.requeue_stranded(&partition, &id, now);
             }
-            for id in old {
-                self.stage(&place, &id, Stage::Ended(Outcome::Expired), None, now);
+            for id in expired {
+                self.set_stage(&partition, &id, Stage::Ended(Outcome::Expired), None, now);
             }
-            for id in drop.into_iter().take(2000) {
-                self.write(&place, PartitionOp::Remove(id), now);
+            for id in to_drop.into_iter().take(2000) {
+                self.write_op(&partition, PartitionOp::Remove(id), now);
             }
         }
-        self.end_dropped(now);
-        self.forget(now);
-        self.watch_duties(now);
-        self.clean();
+        self.expire_routed(now);
+        self.drop_old_replica_records(now);
+        self.track_unserved_duties(now);
+        self.rewrite_oldest_file();
     }
 
-    /// A copy that no leader tends hears of no drops. What ended here lets go
-    /// of its room all the same, later than any leader would drop it.
-    fn forget(&mut self, now: Time) {
+    /// Removes old records from replicas. One that no leader maintains receives no
+    /// removals, so each drops its ended records by itself, later than any leader would.
+    fn drop_old_replica_records(&mut self, now: Time) {
         let retain = self.link.rules.retain;
         if retain == Span::ZERO {
             return;
         }
-        for (place, p) in self.parts.iter_mut().filter(|(_, p)| p.leader_state.is_none() && p.copy_fetch.is_none()) {
-            let past = |r: &Record| matches!(r.stage, Stage::Ended(_)) && now.since(r.ended_at) > retain + FORGET;
-            let old: Vec<MessageId> = p.records.iter().filter(|(_, r)| past(r)).map(|(id, _)| id.clone()).take(1000).collect();
-            for id in old {
-                self.held_bytes += p.remove_record(place, &id, &mut self.ledger);
-                self.ledger.push(JournalEntry::Op { partition: place.clone(), number: p.last_op, op: PartitionOp::Remove(id) });
+        for (partition, part) in
+            self.partitions.iter_mut().filter(|(_, part)| part.leader_state.is_none() && part.copy_fetch.is_none())
+        {
+            let is_past_retention = |record: &Record| {
+                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended_at) > retain + REPLICA_RETENTION_MARGIN
+            };
+            let expired: Vec<MessageId> = part
+                .records
+                .iter()
+                .filter(|(_, record)| is_past_retention(record))
+                .map(|(id, _)| id.clone())
+                .take(1000)
+                .collect();
+            for id in expired {
+                self.held_bytes += part.remove_record(partition, &id, &mut self.ledger);
+                self.ledger.push(JournalEntry::Op {
+                    partition: partition.clone(),
+                    number: part.last_op,
+                    op: PartitionOp::Remove(id),
+                });
             }
         }
     }
 
-    /// Notes duties that have something due and a holder that we do not hear.
-    fn watch_duties(&mut self, now: Time) {
+    /// Records duties with something due whose holder has not reported capacity lately.
+    fn track_unserved_duties(&mut self, now: Time) {
         if !self.link.config_is_current(now) {
-            return self.starved.clear();
+            return self.unserved_since.clear();
         }
-        let (lanes, _) = self.due_lanes(now);
-        self.starved.retain(|d, _| lanes.contains_key(d));
-        for duty in lanes.into_keys() {
-            if self.rooms.get(&duty).is_some_and(|r| now.since(r.at) < Span::millis(1500)) {
-                self.starved.remove(&duty);
+        let (queues, _) = self.ready_queues(now);
+        self.unserved_since.retain(|d, _| queues.contains_key(d));
+        for duty in queues.into_keys() {
+            if self.reported_capacity.get(&duty).is_some_and(|c| now.since(c.received_at) < Span::millis(1500)) {
+                self.unserved_since.remove(&duty);
                 continue;
             }
-            self.starved.entry(duty).or_insert(now);
+            self.unserved_since.entry(duty).or_insert(now);
         }
     }
 
-    /// What placement is told of them.
-    pub(super) fn unheard(&self, now: Time) -> Vec<Duty> {
-        let quiet = self.starved.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
-        // A delivery always tells an attempt's end; one that does not is cut
-        // off. Moving an endpoint costs its newcomer's share, so twice there.
-        let few = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
-        let mute = self.mute.iter().filter(|(d, n)| **n >= few(d)).map(|(d, _)| d.clone());
-        quiet.chain(mute).collect::<BTreeSet<Duty>>().into_iter().collect()
+    /// The duties whose holder seems unreachable, for the report to placement.
+    pub(super) fn unreachable_duties(&self, now: Time) -> Vec<Duty> {
+        let unserved = self.unserved_since.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
+        // A delivery always reports an attempt's end, so one that does not is cut off.
+        // Moving an endpoint costs the rate share of the delivery that takes it over, so an
+        // endpoint needs two such attempts.
+        let min_unreported = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
+        let unreported = self.unreported_in_a_row.iter().filter(|(d, n)| **n >= min_unreported(d)).map(|(d, _)| d.clone());
+        unserved.chain(unreported).collect::<BTreeSet<Duty>>().into_iter().collect()
     }
 
-    /// Writes living records of the oldest file again, a part at a time, so
-    /// that it can go; what is not in memory is read back for the next time.
-    fn clean(&mut self) {
-        // A record's lines take some room beside its bytes.
-        let count: usize = self.parts.values().map(|p| p.records.len()).sum();
-        let live = self.held_bytes.max(0) as u64 + count as u64 * 400;
-        let Some((first, last)) = self.ledger.sparse_segment(live) else { return };
-        let (mut here, mut absent) = (Vec::new(), Vec::new());
+    /// Rewrites the live records of the oldest file, a part at a time, so that the file
+    /// can be removed. Bodies that are not in memory are read back for the next time.
+    fn rewrite_oldest_file(&mut self) {
+        // A record's lines take some space beyond its body.
+        let count: usize = self.partitions.values().map(|part| part.records.len()).sum();
+        let live_bytes = self.held_bytes.max(0) as u64 + count as u64 * 400;
+        let Some((first, last)) = self.ledger.sparse_segment(live_bytes) else { return };
+        let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
-        for (place, p) in &self.parts {
-            for r in p.records.values().filter(|r| first <= r.saved_in && r.saved_in <= last) {
-                size += u64::from(r.header.len) + 256;
-                if size > CLEAN {
+        for (partition, part) in &self.partitions {
+            for record in part.records.values().filter(|record| first <= record.saved_in && record.saved_in <= last) {
+                size += u64::from(record.header.len) + 256;
+                if size > MAX_REWRITE_BYTES {
                     break;
                 }
-                let set = if r.loaded_body().is_some() { &mut here } else { &mut absent };
-                set.push((place.clone(), r.header.id.clone()));
+                let list = if record.loaded_body().is_some() { &mut in_memory } else { &mut on_disk };
+                list.push((partition.clone(), record.header.id.clone()));
             }
         }
-        for (place, id) in here {
-            self.write_again(&place, &id);
+        for (partition, id) in in_memory {
+            self.rewrite_record(&partition, &id);
         }
-        for (place, id) in absent {
-            if !self.park(&place, &id, Parked::Clean) {
+        for (partition, id) in on_disk {
+            if !self.read_body_for(&partition, &id, BodyWaiter::Rewrite) {
                 break;
             }
         }
--- a/crates/queue/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -57,7 +57,7 @@
     /// A replica that was told that it lacks every partition.
     fn new() -> Replica {
         let me = Member { disk_id: IncarnationId(2), ..member("store-2", "z2") };
-        let startup = Startup { cache_max: LIMIT_BYTES, ..startup(me) };
+        let startup = Startup { max_cached_bytes: LIMIT_BYTES, ..startup(me) };
         let (core, _) = Store::new(startup, &Vec::new(), IncarnationId(2), START);
         let mut replica = Replica { core, now: START, requests: VecDeque::new(), most_held: 0 };
         replica.step(Event::Saved(1));
@@ -84,7 +84,7 @@
                 _ => {}
             }
         }
-        let copies = self.core.parts.values().filter_map(|part| part.copy_fetch.as_ref());
+        let copies = self.core.partitions.values().filter_map(|part| part.copy_fetch.as_ref());
         self.most_held = self.most_held.max(copies.map(|fetch| fetch.copy.received_bytes()).sum());
     }
 
@@ -107,7 +107,7 @@
     }
 
     fn complete_copies(&self) -> Vec<u32> {
-        let is_complete = |part: &&u32| self.core.parts[&partition(**part)].installed_epoch == EPOCH;
+        let is_complete = |part: &&u32| self.core.partitions[&partition(**part)].installed_epoch == EPOCH;
         (0..PARTITIONS).collect::<Vec<_>>().iter().filter(is_complete).copied().collect()
     }
 }
--- a/crates/queue/tests/copy_fetch.rs
+++ b/crates/queue/tests/copy_fetch.rs
@@ -69,7 +69,7 @@
     }
 
     fn partition_replica(&self) -> &dw_queue::partition_replica::PartitionReplica {
-        &self.core.parts[&partition()]
+        &self.core.partitions[&partition()]
     }
 }
 
--- a/crates/queue/tests/disk_stuck.rs
+++ b/crates/queue/tests/disk_stuck.rs
@@ -13,7 +13,7 @@
     cluster.block_disk(1);
     cluster.submit(2, 1);
     assert!(matches!(cluster.responses.get(&2), Some(SubmitOutcome::Rejected { code: 503, .. })), "{:?}", cluster.responses);
-    assert!(!cluster.stores[&store(1)].parts[&partition()].records.contains_key(&MessageId("m2".into())));
+    assert!(!cluster.stores[&store(1)].partitions[&partition()].records.contains_key(&MessageId("m2".into())));
     cluster.unblock_disk(1);
     cluster.submit(3, 1);
     assert!(cluster.accepted(3), "{:?}", cluster.responses);
@@ -32,7 +32,7 @@
     cluster.submit(2, 2);
     cluster.run(Span::secs(1));
     assert!(cluster.accepted(2), "{:?}", cluster.responses);
-    assert!(cluster.stores[&store(2)].parts[&partition()].records.contains_key(&MessageId("m1".into())));
+    assert!(cluster.stores[&store(2)].partitions[&partition()].records.contains_key(&MessageId("m1".into())));
     cluster.unblock_disk(1);
     cluster.run(Span::secs(1));
     assert!(!cluster.reports[&store(1)].leaving);
@@ -71,7 +71,7 @@
     let entries = vec![JournalEntry::DiskId(IncarnationId(5))];
     let complete = ("lines-0000000000000001-0000000000000001".to_string(), Bytes::from(encode(&entries)));
     let (store, out) = Store::new(startup_of(1), &vec![complete, torn], IncarnationId(9), Time::millis(1));
-    assert_eq!(store.mark, IncarnationId(9));
+    assert_eq!(store.disk_id, IncarnationId(9));
     let saved = out.iter().position(|e| matches!(e, Effect::Save { .. })).unwrap();
     let removed: Vec<usize> = (0..out.len()).filter(|at| matches!(out[*at], Effect::Remove(_))).collect();
     assert_eq!(removed.len(), 2);
@@ -98,9 +98,9 @@
         }
         assert!(cluster.now < Time(10_000_000), "it fetched no copy");
     }
-    let source = cluster.stores[&store(third)].parts[&partition()].copy_fetch.as_ref().unwrap().source.clone();
+    let source = cluster.stores[&store(third)].partitions[&partition()].copy_fetch.as_ref().unwrap().source.clone();
     cluster.stores.remove(&source);
     cluster.run(Span::secs(4));
     assert_eq!(cluster.phase(third), Some(Phase::Serving));
-    assert!(cluster.stores[&store(third)].parts[&partition()].records.contains_key(&MessageId("m1".into())));
+    assert!(cluster.stores[&store(third)].partitions[&partition()].records.contains_key(&MessageId("m1".into())));
 }
--- a/crates/queue/tests/leader_change.rs
+++ b/crates/queue/tests/leader_change.rs
@@ -42,7 +42,7 @@
 }
 
 fn stage_at(cluster: &Cluster, n: u64) -> Stage {
-    cluster.stores[&store(n)].parts[&partition()].records[&id()].stage
+    cluster.stores[&store(n)].partitions[&partition()].records[&id()].stage
 }
 
 /// The stage that store `n` shows to callers.
@@ -122,7 +122,7 @@
     cluster.submit(1, 1);
     report_capacity(&mut cluster, 1);
     assert_eq!(cluster.offers.len(), 1);
-    while cluster.stores[&store(1)].counts.lapsed == 0 {
+    while cluster.stores[&store(1)].counts.unreported_attempts == 0 {
         cluster.run(Span::millis(20));
         assert!(cluster.now < Time(30_000_000), "its deadline never passes");
     }
@@ -132,6 +132,6 @@
     cluster.now += Span::millis(400);
     report_success(&mut cluster, 1);
     assert_eq!(cluster.offers.len(), 1);
-    assert_eq!(cluster.stores[&store(1)].counts.ended_handed_out, 0);
+    assert_eq!(cluster.stores[&store(1)].counts.ended_messages_dequeued, 0);
     assert_eq!(stage_at(&cluster, 1), Stage::Ended(Outcome::Succeeded));
 }
--- a/crates/queue/tests/loaded_stores/mod.rs
+++ b/crates/queue/tests/loaded_stores/mod.rs
@@ -93,7 +93,7 @@
         }
         all.write_set = (1..=stores).map(|n| (daemon(&format!("store-{n}")), IncarnationId(n))).collect();
         all.run(Span::secs(3));
-        let own = all.cores[&daemon(LEADER)].parts[&partition()].leader_state.as_ref().expect("a leader");
+        let own = all.cores[&daemon(LEADER)].partitions[&partition()].leader_state.as_ref().expect("a leader");
         all.replica = own.backups.keys().next().expect("a replica").clone();
         for _ in 0..count {
             all.submit();
@@ -107,11 +107,11 @@
     fn start_with_empty_disk(&mut self, name: &str, disk_id: IncarnationId) {
         let zone = self.zone_of(name);
         let startup = Startup {
-            pull: Span::millis(300),
-            bytes_max: 1 << 30,
-            disk_max: 1 << 30,
-            cache_max: 1 << 30,
-            count_max: 1 << 20,
+            pull_interval: Span::millis(300),
+            max_body_bytes: 1 << 30,
+            max_disk_bytes: 1 << 30,
+            max_cached_bytes: 1 << 30,
+            max_messages: 1 << 20,
             ..startup(member(name, &zone))
         };
         let (core, out) = Store::new(startup, &Vec::new(), disk_id, self.now);
@@ -126,7 +126,7 @@
 
     /// The peers that are sent every operation by the leader.
     pub fn backups(&self) -> Vec<Daemon> {
-        let own = self.cores[&daemon(LEADER)].parts[&partition()].leader_state.as_ref().expect("a leader");
+        let own = self.cores[&daemon(LEADER)].partitions[&partition()].leader_state.as_ref().expect("a leader");
         own.backups.keys().cloned().collect()
     }
 
@@ -143,7 +143,8 @@
     /// The fewest stores that hold an accepted message, and the fewest zones in which they
     /// are.
     pub fn fewest_holders(&self) -> (usize, usize) {
-        let holds = |id: &MessageId, core: &Store| core.parts.get(&partition()).is_some_and(|part| part.records.contains_key(id));
+        let holds =
+            |id: &MessageId, core: &Store| core.partitions.get(&partition()).is_some_and(|part| part.records.contains_key(id));
         let holders = |id: &MessageId| -> Vec<String> {
             let all = self.cores.iter().filter(|(_, core)| holds(id, core));
             all.map(|(store, _)| self.zone_of(store.as_str())).collect()
@@ -168,7 +169,7 @@
 
     /// Placement puts the present disk id of a store into the write set.
     pub fn count_new_disk(&mut self, store: &Daemon) {
-        let disk_id = self.cores[store].mark;
+        let disk_id = self.cores[store].disk_id;
         let member = self.write_set.iter_mut().find(|member| member.0 == *store).expect("a member of the write set");
         member.1 = disk_id;
     }
@@ -194,7 +195,7 @@
         self.queue.clear();
         let id = self.in_flight.pop_front().expect("an attempt in flight").header.id;
         for core in self.cores.values_mut() {
-            let Some(record) = core.parts.get_mut(&partition()).and_then(|part| part.records.get_mut(&id)) else { continue };
+            let Some(record) = core.partitions.get_mut(&partition()).and_then(|part| part.records.get_mut(&id)) else { continue };
             record.body = Some(Bytes::from_static(b"altered"));
         }
     }
@@ -224,11 +225,11 @@
     /// Whether the leader takes the replica's copy as complete: it counts, or may be counted.
     fn is_copied(&self) -> bool {
         let replica = &self.cores[&self.replica];
-        let Some(own) = self.cores[&daemon(LEADER)].parts[&partition()].leader_state.as_ref() else { return false };
-        let is_reported = own.complete_copies.get(&self.replica) == Some(&replica.mark);
+        let Some(own) = self.cores[&daemon(LEADER)].partitions[&partition()].leader_state.as_ref() else { return false };
+        let is_reported = own.complete_copies.get(&self.replica) == Some(&replica.disk_id);
         let synced_op = own.peers.get(&self.replica).and_then(|s| s.synced_op);
-        let is_level = synced_op.is_some_and(|op| op + 200 >= self.cores[&daemon(LEADER)].parts[&partition()].last_op);
-        is_level && (is_reported || own.is_counted(&self.replica, replica.mark))
+        let is_level = synced_op.is_some_and(|op| op + 200 >= self.cores[&daemon(LEADER)].partitions[&partition()].last_op);
+        is_level && (is_reported || own.is_counted(&self.replica, replica.disk_id))
     }
 
     pub fn event_count(&self, event: LogEvent) -> usize {
@@ -239,11 +240,11 @@
     pub fn assert_same_records(&mut self) {
         self.busy = false;
         for (id, disk_id) in &mut self.write_set {
-            *disk_id = self.cores[id].mark;
+            *disk_id = self.cores[id].disk_id;
         }
         self.run(Span::secs(3));
         let records = |name: &str| -> Vec<(MessageHeader, Stage, Option<Bytes>)> {
-            let part = &self.cores[&daemon(name)].parts[&partition()];
+            let part = &self.cores[&daemon(name)].partitions[&partition()];
             part.records.values().map(|r| (r.header.clone(), r.stage, r.loaded_body())).collect()
         };
         let (original, copied) = (records(LEADER), records(self.replica.as_str()));
@@ -318,7 +319,7 @@
         let version = Version { term: TERM, count: 1 };
         let members = self.cores.iter().map(|(id, core)| {
             let zone = self.zone_of(id.as_str());
-            Member { disk_id: core.mark, ..member(id.as_str(), &zone) }
+            Member { disk_id: core.disk_id, ..member(id.as_str(), &zone) }
         });
         let location = PartitionLocation { leader: daemon(LEADER), epoch: EPOCH };
         let updates = vec![
--- a/crates/queue/tests/released_bodies.rs
+++ b/crates/queue/tests/released_bodies.rs
@@ -33,7 +33,7 @@
 }
 
 fn record(stores: &StorePair, at: usize) -> &Record {
-    &stores.cores[at].parts[&partition()].records[&id()]
+    &stores.cores[at].partitions[&partition()].records[&id()]
 }
 
 #[test]
@@ -76,7 +76,7 @@
 fn a_replica_that_fetches_a_copy_needs_no_body_of_a_message_that_succeeded() {
     let mut stores = accepted();
     report_result(&mut stores, AttemptOutcome::Success);
-    let snapshot = stores.cores[0].parts[&partition()].snapshot();
+    let snapshot = stores.cores[0].partitions[&partition()].snapshot();
     let me = Member { disk_id: IncarnationId(3), ..member("store-3", "z3") };
     let (mut third, _) = Store::new(startup(me), &Vec::new(), IncarnationId(3), stores.now);
     let from = daemon("store-1");
@@ -93,14 +93,14 @@
     );
     let effects = third.step(received(PeerMessage::WholeCopy { partition: partition(), epoch: epoch(), snapshot }), stores.now);
     assert!(!effects.iter().any(|e| matches!(e, Effect::Send(_, PeerMessage::FetchBodies { .. }))), "{effects:?}");
-    assert_eq!(third.parts[&partition()].records[&id()].stage, Stage::Ended(Outcome::Succeeded));
+    assert_eq!(third.partitions[&partition()].records[&id()].stage, Stage::Ended(Outcome::Succeeded));
 }
 
 /// Another replica did not receive the success: the body is fetched from there.
 #[test]
 fn a_replica_whose_success_was_not_committed_gets_the_body_back() {
     let mut stores = accepted();
-    let before = stores.cores[0].parts[&partition()].snapshot();
+    let before = stores.cores[0].partitions[&partition()].snapshot();
     report_result(&mut stores, AttemptOutcome::Success);
     let next = Epoch { term: TERM, count: 2 };
     let from = daemon("store-9");
@@ -132,6 +132,6 @@
     let me = Member { disk_id: IncarnationId(1), ..member("store-1", "z1") };
     let (store, _) = Store::new(startup(me), &files, IncarnationId(8), stores.now);
     assert_eq!(store.held_bytes, 0);
-    let record = &store.parts[&partition()].records[&id()];
+    let record = &store.partitions[&partition()].records[&id()];
     assert_eq!((record.stage, record.header.len), (Stage::Ended(Outcome::Succeeded), 0));
 }
--- a/crates/queue/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -70,9 +70,9 @@
     /// Starts a store with an empty data folder.
     fn start_with_empty_disk(&mut self, name: &str, mark: IncarnationId) {
         let settings = Startup {
-            pull: Span::millis(300),
-            word: Span::millis(500),
-            seed: hash_of(name.as_bytes()),
+            pull_interval: Span::millis(300),
+            max_answer_delay: Span::millis(500),
+            rng_seed: hash_of(name.as_bytes()),
             ..startup(in_own_zone(name))
         };
         let no_files: Vec<(String, Bytes)> = Vec::new();
@@ -82,10 +82,10 @@
         self.handle_effects(&daemon(name), out);
     }
     fn mark(&self, name: &str) -> IncarnationId {
-        self.cores[&daemon(name)].mark
+        self.cores[&daemon(name)].disk_id
     }
     fn leader(&self) -> &LeaderState {
-        self.cores[&daemon(LEADER)].parts[&partition()].leader_state.as_ref().expect("a leader")
+        self.cores[&daemon(LEADER)].partitions[&partition()].leader_state.as_ref().expect("a leader")
     }
     fn handle_effects(&mut self, id: &Daemon, out: Vec<Effect>) {
         for effect in out {
@@ -105,7 +105,7 @@
     }
     /// Answers a pull as placement would: members, and the leader's grant.
     fn answer_pull(&mut self, to: &Daemon, requested_at: Time, report: Option<Report>) {
-        let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.mark, ..in_own_zone(d.as_str()) }).collect();
+        let members = self.cores.iter().map(|(d, core)| Member { disk_id: core.disk_id, ..in_own_zone(d.as_str()) }).collect();
         let version = Version { term: Term(1), count: 1 };
         let rules = config();
         let listed = Version { count: self.starts, ..version };
@@ -188,7 +188,7 @@
         self.report.replacement_numbers.contains(&(partition(), number)) && self.report.complete_copies.contains(&complete_copy)
     }
     fn record_count(&self, name: &str) -> usize {
-        self.cores[&daemon(name)].parts.get(&partition()).map_or(0, |p| p.records.len())
+        self.cores[&daemon(name)].partitions.get(&partition()).map_or(0, |p| p.records.len())
     }
     fn start_replacement(&mut self, number: u64) {
         self.replacement = Some((daemon(LEAVING), daemon(JOINING), number));
--- a/crates/queue/tests/stalled_store.rs
+++ b/crates/queue/tests/stalled_store.rs
@@ -48,8 +48,8 @@
     stores.report_capacity(FIRST_INCARNATION, stores.now);
     stores.run(Span::secs(1));
     assert_eq!(stores.offers.len(), 1, "it was dispatched again");
-    assert_eq!(stores.cores[0].counts.outlived, 0, "a false alarm");
-    assert_eq!(stores.cores[0].counts.lapsed, 0, "its result was still unread");
+    assert_eq!(stores.cores[0].counts.overrun_attempts, 0, "a false alarm");
+    assert_eq!(stores.cores[0].counts.unreported_attempts, 0, "its result was still unread");
 }
 
 /// A real overrun is still reported: without a stall, and after a stall once the
@@ -62,9 +62,9 @@
         stores.now += stall;
         stores.step(0, Event::Tick);
         stores.run(Span::secs(4));
-        assert_eq!(stores.cores[0].counts.lapsed, 1, "after {stall:?}");
+        assert_eq!(stores.cores[0].counts.unreported_attempts, 1, "after {stall:?}");
         let report = success(&stores);
         stores.step(0, report);
-        assert_eq!(stores.cores[0].counts.outlived, 1, "after {stall:?}");
+        assert_eq!(stores.cores[0].counts.overrun_attempts, 1, "after {stall:?}");
     }
 }
--- a/crates/queue/tests/stranded_messages.rs
+++ b/crates/queue/tests/stranded_messages.rs
@@ -9,10 +9,10 @@
     let mut stores = StorePair::new();
     stores.submit();
     stores.run(Span::millis(100));
-    let part = stores.cores[0].parts.get_mut(&partition()).unwrap();
+    let part = stores.cores[0].partitions.get_mut(&partition()).unwrap();
     part.leader_state.as_mut().unwrap().queues.routed.clear();
     stores.run(Span::millis(1200));
-    assert_eq!(stores.cores[0].counts.stranded, 1);
+    assert_eq!(stores.cores[0].counts.stranded_requeued, 1);
     stores.report_capacity(FIRST_INCARNATION, stores.now);
     stores.run(Span::millis(100));
     assert_eq!(stores.offers.len(), 1);
@@ -27,5 +27,5 @@
     stores.run(Span::millis(1200));
     stores.report_capacity(FIRST_INCARNATION, stores.now);
     stores.run(Span::millis(1200));
-    assert_eq!((stores.offers.len(), stores.cores[0].counts.stranded), (1, 0));
+    assert_eq!((stores.offers.len(), stores.cores[0].counts.stranded_requeued), (1, 0));
 }
--- a/crates/queue/tests/three_stores/mod.rs
+++ b/crates/queue/tests/three_stores/mod.rs
@@ -22,7 +22,7 @@
 }
 
 pub fn startup_of(n: u64) -> Startup {
-    Startup { seed: n, ..startup(member_of(n)) }
+    Startup { rng_seed: n, ..startup(member_of(n)) }
 }
 
 #[derive(Default)]
@@ -78,7 +78,7 @@
     }
 
     pub fn leader_state(&self, n: u64) -> Option<&LeaderState> {
-        self.stores[&store(n)].parts.get(&partition()).and_then(|part| part.leader_state.as_ref())
+        self.stores[&store(n)].partitions.get(&partition()).and_then(|part| part.leader_state.as_ref())
     }
 
     pub fn phase(&self, n: u64) -> Option<Phase> {
