--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -119,7 +119,7 @@
         let (folder, files) = open(directory);
         self.incarnations += 1;
         let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.incarnations), Time(1));
-        store.ledger.fold_at = 3;
+        store.ledger.compaction_threshold = 3;
         self.check_state_read(&store)?;
         directory.supply_power_for(1 + random.below(120));
         if self.perform_all(directory, &folder, &mut store, effects) {
@@ -132,7 +132,7 @@
             };
             let mut has_power = self.deliver(directory, &folder, &mut store, lagging);
             while has_power {
-                let first = store.partitions[&partition()].n + 1;
+                let first = store.partitions[&partition()].last_op + 1;
                 for _ in 0..1 + random.below(3) {
                     let op = self.next_op(random);
                     self.ops.push(op);
@@ -155,10 +155,10 @@
             prop_assert_eq!(store.disk_id, disk_id, "{} operations were acknowledged", self.acknowledged);
         }
         let partition_state = store.partitions.get(&partition());
-        let n = partition_state.filter(|p| p.installed == EPOCH).map_or(0, |p| p.n);
+        let n = partition_state.filter(|p| p.installed_epoch == EPOCH).map_or(0, |p| p.last_op);
         prop_assert!(n >= self.acknowledged, "{n} operations are read back of {} acknowledged", self.acknowledged);
         let found: BTreeMap<_, _> =
-            partition_state.iter().flat_map(|p| p.recs.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
+            partition_state.iter().flat_map(|p| p.records.iter()).map(|(id, record)| (id.clone(), record.stage)).collect();
         prop_assert_eq!(found, self.records(n));
         self.ops.truncate(n as usize);
         Ok(())
--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -5,7 +5,7 @@
 impl Store {
     /// Sends each backup the operations that it lacks.
     pub(super) fn replicate(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
         for backup in lead.backups.keys().cloned().collect::<Vec<_>>() {
             self.replicate_to(partition, &backup, now);
         }
@@ -13,24 +13,24 @@
 
     fn replicate_to(&mut self, partition: &PartitionId, backup: &Daemon, now: Time) {
         let Some(part) = self.partitions.get_mut(partition) else { return };
-        let Some(lead) = part.own.as_mut() else { return };
-        let last_op = part.n;
+        let Some(lead) = part.leader_state.as_mut() else { return };
+        let last_op = part.last_op;
         let epoch = lead.epoch;
-        let Some(acknowledged) = lead.peers.get(backup).and_then(|s| s.have) else { return };
-        let sent = lead.peers.get(backup).map_or(acknowledged, |s| s.sent).max(acknowledged);
+        let Some(acknowledged) = lead.peers.get(backup).and_then(|s| s.synced_op) else { return };
+        let sent = lead.peers.get(backup).map_or(acknowledged, |s| s.sent_op).max(acknowledged);
         if sent >= last_op || sent - acknowledged > 4 * 1024 {
             return;
         }
-        let Some(ops) = lead.ops_from(sent + 1, last_op) else {
+        let Some(ops) = lead.retained_ops_from(sent + 1, last_op) else {
             // The operations it lacks are no longer kept: it needs a complete copy.
             if let Some(s) = lead.peers.get_mut(backup) {
-                (s.have, s.short) = (None, true);
+                (s.synced_op, s.must_fetch) = (None, true);
             }
             return;
         };
         if let Some(s) = lead.peers.get_mut(backup) {
-            s.note_sent(sent + ops.len() as u64, now);
-            if s.sent < last_op {
+            s.record_sent(sent + ops.len() as u64, now);
+            if s.sent_op < last_op {
                 self.to_replicate.insert(partition.clone());
             }
         }
@@ -51,19 +51,19 @@
             return;
         }
         let part = self.partitions.entry(partition.clone()).or_default();
-        if epoch < part.promised {
-            let promised = part.promised;
+        if epoch < part.promised_epoch {
+            let promised = part.promised_epoch;
             self.counts.fenced_requests += 1;
             return self.send(&from, PeerMessage::FenceRefused { partition, promised_epoch: promised });
         }
-        if part.installed != epoch || first > part.n + 1 {
-            let (installed, n) = (part.installed, part.n);
+        if part.installed_epoch != epoch || first > part.last_op + 1 {
+            let (installed, n) = (part.installed_epoch, part.last_op);
             return self.send(&from, PeerMessage::AppendGap { partition, epoch, installed_epoch: installed, last_op: n });
         }
-        let file_version = self.ledger.next();
+        let file_version = self.ledger.next_save();
         for (at, op) in ops.into_iter().enumerate() {
             let n = first + at as u64;
-            if n <= part.n {
+            if n <= part.last_op {
                 continue;
             }
             if let PartitionOp::Put(header, _, body) = &op {
@@ -73,11 +73,11 @@
             }
             self.held_bytes += part.apply(&partition, &op, file_version, now, &mut self.ledger);
             self.body_cache.insert_op(&partition, &op);
-            part.n = n;
-            self.ledger.push(Line::Op { place: partition.clone(), n, op });
+            part.last_op = n;
+            self.ledger.push(JournalEntry::Op { partition: partition.clone(), number: n, op });
         }
-        let up_to = part.n;
-        self.after_sync(Then::Ack { to: from, place: partition, epoch, upto: up_to });
+        let up_to = part.last_op;
+        self.after_sync(SyncAction::AcknowledgeOps { to: from, partition, epoch, up_to });
     }
 
     pub(super) fn on_appended(
@@ -90,40 +90,40 @@
         now: Time,
     ) {
         let Some(part) = self.partitions.get_mut(&partition) else { return };
-        let last_op = part.n;
-        let Some(lead) = part.own.as_mut() else { return };
+        let last_op = part.last_op;
+        let Some(lead) = part.leader_state.as_mut() else { return };
         if lead.epoch != epoch || up_to > last_op {
             return;
         }
-        let is_counted = lead.counts(&from, disk_id);
+        let is_counted = lead.is_counted(&from, disk_id);
         // If it lacks operations, the first of them has to be kept here still.
-        let is_resendable = up_to == last_op || lead.op(up_to + 1, last_op).is_some();
+        let is_resendable = up_to == last_op || lead.retained_op(up_to + 1, last_op).is_some();
         let peer = lead.peers.entry(from.clone()).or_default();
-        peer.short = !is_resendable;
-        peer.note_acknowledged(up_to, now);
-        peer.mark = disk_id;
-        let is_first_acknowledgement = peer.have.is_none();
-        peer.have = Some(peer.have.unwrap_or(0).max(up_to));
-        peer.sent = peer.sent.max(up_to);
+        peer.must_fetch = !is_resendable;
+        peer.record_ack(up_to, now);
+        peer.disk_id = disk_id;
+        let is_first_acknowledgement = peer.synced_op.is_none();
+        peer.synced_op = Some(peer.synced_op.unwrap_or(0).max(up_to));
+        peer.sent_op = peer.sent_op.max(up_to);
         if is_first_acknowledgement {
-            peer.sent = up_to;
+            peer.sent_op = up_to;
         }
         if !is_counted {
-            if !lead.covers(&from, up_to) {
+            if !lead.is_copy_sufficient(&from, up_to) {
                 // The copy was made for an earlier replacement and lacks operations: it
                 // is made again.
                 let Some(peer) = lead.peers.get_mut(&from) else { return };
-                (peer.have, peer.short, peer.asked) = (None, true, Time(0));
+                (peer.synced_op, peer.must_fetch, peer.last_request) = (None, true, Time(0));
                 return;
             }
             // A complete copy under a new disk id: placement may count it from now on.
-            if lead.whole.insert(from, disk_id) != Some(disk_id) {
+            if lead.complete_copies.insert(from, disk_id) != Some(disk_id) {
                 self.link.pull_now(now);
             }
             return;
         }
-        lead.whole.remove(&from);
-        lead.end_copying(&from);
+        lead.complete_copies.remove(&from);
+        lead.remove_copying_peer(&from);
         self.to_replicate.insert(partition.clone());
         self.advance_commit(&partition, now);
     }
@@ -137,31 +137,31 @@
         last_op: u64,
         now: Time,
     ) {
-        let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.leader_state.as_mut()) else { return };
         if lead.epoch != epoch {
             return;
         }
-        let expected = lead.was;
-        let disk_id = lead.set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
+        let expected = lead.recovered_state;
+        let disk_id = lead.write_set.iter().find(|s| s.0 == from).map_or(IncarnationId(0), |s| s.1);
         let Some(peer) = lead.peers.get_mut(&from) else { return };
-        peer.heard = now;
+        peer.last_contact = now;
         if installed_epoch == epoch {
-            peer.sent = last_op;
-            peer.have = peer.have.map(|h| h.min(last_op));
+            peer.sent_op = last_op;
+            peer.synced_op = peer.synced_op.map(|h| h.min(last_op));
             self.to_replicate.insert(partition);
             return;
         }
-        peer.have = None;
-        peer.asked = now;
+        peer.synced_op = None;
+        peer.last_request = now;
         self.send(&from, PeerMessage::Lagging { partition, epoch, expected, disk_id, must_fetch: false });
     }
 
     pub(super) fn on_own_ops_synced(&mut self, partition: &PartitionId, epoch: Epoch, up_to: u64, now: Time) {
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         if lead.epoch != epoch {
             return;
         }
-        lead.adopted = true;
+        lead.adoption_synced = true;
         lead.durable = lead.durable.max(up_to);
         self.advance_commit(partition, now);
     }
@@ -171,29 +171,29 @@
     pub(super) fn advance_commit(&mut self, partition: &PartitionId, now: Time) {
         let zone = self.startup.me.zone.clone();
         let members = &self.link.members;
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
-        if !lead.adopted {
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        if !lead.adoption_synced {
             return;
         }
-        let is_leaving = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
+        let is_leaving = |d: &Daemon| lead.replacement.as_ref().is_some_and(|s| s.0 == *d);
         let is_in_other_zone = |d: &Daemon| members.get(d).is_some_and(|m| m.zone != zone);
         let mut copies: Vec<(u64, bool)> = lead
             .peers
             .iter()
-            .filter(|(d, s)| lead.counts(d, s.mark) && !is_leaving(d))
-            .filter_map(|(d, s)| Some((s.have?, is_in_other_zone(d))))
+            .filter(|(d, s)| lead.is_counted(d, s.disk_id) && !is_leaving(d))
+            .filter_map(|(d, s)| Some((s.synced_op?, is_in_other_zone(d))))
             .collect();
         copies.sort_by(|a, b| b.cmp(a));
         let Some(on_enough_copies) = copies.get(lead.backups_needed() - 1).map(|c| c.0) else { return };
         let Some(in_other_zone) = copies.iter().filter(|c| c.1).map(|c| c.0).max() else { return };
         let committable = on_enough_copies.min(in_other_zone);
-        if lead.phase == Phase::Spreading {
+        if lead.phase == Phase::AwaitingBackups {
             self.set_phase(partition, Phase::Serving, now);
         }
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         lead.committed = lead.committed.max(committable.min(lead.durable));
-        let still_waiting = lead.waits.split_off(&(lead.committed + 1));
-        let committed = std::mem::replace(&mut lead.waits, still_waiting);
+        let still_waiting = lead.commit_actions.split_off(&(lead.committed + 1));
+        let committed = std::mem::replace(&mut lead.commit_actions, still_waiting);
         for wait in committed.into_values().flatten() {
             self.on_committed(partition, wait, now);
         }
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -10,16 +10,19 @@
         if self.standstill.is_catching_up(now) {
             return;
         }
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         let mut expired = Vec::new();
-        for (seq, flight) in lead.lane.overdue(now) {
-            lead.overdue.lapsed(flight.attempt, flight.end);
+        for (seq, flight) in lead.queues.take_overdue(now) {
+            lead.overdue_attempts.record_overdue(flight.attempt, flight.deadline);
             *self.unreported_in_a_row.entry(flight.duty.clone()).or_default() += 1;
-            expired.extend(lead.lane.ids.get(&seq).map(|id| (id.clone(), flight)));
+            expired.extend(lead.queues.ids.get(&seq).map(|id| (id.clone(), flight)));
         }
         for (id, flight) in expired {
             self.counts.unreported_attempts += 1;
-            self.log(LogEvent::AttemptEndUnreported, format!("{partition} {id} attempt {} at {}", flight.attempt, flight.to));
+            self.log(
+                LogEvent::AttemptEndUnreported,
+                format!("{partition} {id} attempt {} at {}", flight.attempt, flight.delivery),
+            );
             self.on_attempt_expired(partition, &id, now);
         }
     }
@@ -28,7 +31,7 @@
     /// it is pending, for a call-back while one is owed. Any other message must not be in
     /// a queue, so that is logged as a fault.
     pub(super) fn may_dispatch(&mut self, partition: &PartitionId, id: &MessageId, is_callback: bool) -> bool {
-        let stage = self.partitions.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.stage);
+        let stage = self.partitions.get(partition).and_then(|part| part.records.get(id)).map(|record| record.stage);
         let fits = match stage {
             Some(Stage::Pending) => !is_callback,
             Some(Stage::SucceededAwaitingCallback | Stage::EndedAwaitingCallback(_)) => is_callback,
@@ -47,9 +50,9 @@
     /// after the opening ends.
     pub(super) fn requeue_stranded(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
         let Some(part) = self.partitions.get_mut(partition) else { return };
-        let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(id)) else { return };
-        lead.lane.ids.insert(record.head.seq, id.clone());
-        lead.lane.post(&record.head.route, &record.head.key, lead.quiet.max(now), record.head.seq);
+        let (Some(lead), Some(record)) = (part.leader_state.as_mut(), part.records.get(id)) else { return };
+        lead.queues.ids.insert(record.header.seq, id.clone());
+        lead.queues.enqueue_routed(&record.header.route, &record.header.key, lead.hold_until.max(now), record.header.seq);
         self.counts.stranded_requeued += 1;
         self.log(LogEvent::StrandedMessageRequeued, format!("{partition} {id}"));
     }
@@ -58,11 +61,11 @@
     /// whether it was only reported late or ran past its deadline.
     pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
         let Some(part) = self.partitions.get_mut(&result.partition) else { return };
-        let Some(lead) = part.own.as_mut() else { return };
-        let unread = self.standstill.unread(now);
-        let Some(late) = lead.overdue.judge(result, lead.epoch, lead.quiet, unread, now) else { return };
-        let seq = part.recs.get(&result.id).map(|record| record.head.seq);
-        let current = seq.and_then(|seq| lead.lane.flights.get(&seq)).map(|f| f.attempt);
+        let Some(lead) = part.leader_state.as_mut() else { return };
+        let unread = self.standstill.max_read_delay(now);
+        let Some(late) = lead.overdue_attempts.classify_success(result, lead.epoch, lead.hold_until, unread, now) else { return };
+        let seq = part.records.get(&result.id).map(|record| record.header.seq);
+        let current = seq.and_then(|seq| lead.queues.in_flight.get(&seq)).map(|f| f.attempt);
         let current = current.map_or(String::from("no attempt in flight now"), |n| format!("attempt {n} in flight now"));
         let text = format!(
             "{} {} attempt {} of epoch {} at {from}: {late}, {current}",
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -26,10 +26,10 @@
         let zone = self.startup.me.zone.clone();
         let is_far = |d: &Daemon| zones.get(d).is_some_and(|z| *z != zone);
         let candidates = self.backup_candidates(partition, &zones);
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         let needed = lead.backups_needed();
         if lost.is_some_and(|lost| !is_far(lost)) {
-            lead.near_drawn = now;
+            lead.same_zone_backup_changed_at = now;
         }
         lead.backups.retain(|d, _| candidates.contains(d) && Some(d) != lost);
         // The peer after the lost one comes first, the lost one itself last.
@@ -48,7 +48,7 @@
         if added.is_empty() {
             return;
         }
-        lead.asked = Time(0);
+        lead.last_request = Time(0);
         if lost.is_some() {
             let names: Vec<String> = added.iter().map(|d| d.to_string()).collect();
             self.log(LogEvent::BackupChosen, format!("{partition} now {}", names.join(", ")));
@@ -58,15 +58,19 @@
 
     /// The peers that may be backups of a partition, the best first.
     fn backup_candidates(&self, partition: &PartitionId, zones: &BTreeMap<Daemon, Zone>) -> Vec<Daemon> {
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return Vec::new() };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return Vec::new() };
         let me = &self.startup.me;
-        let is_leaving = |d: &Daemon| lead.swap.as_ref().is_some_and(|s| s.0 == *d);
+        let is_leaving = |d: &Daemon| lead.replacement.as_ref().is_some_and(|s| s.0 == *d);
         // A single backup has to be in another zone; of several, some may be in this
         // zone.
         let same_zone_allowed = lead.backups_needed() > 1;
         let is_in_allowed_zone = |d: &Daemon| zones.get(d).is_some_and(|z| same_zone_allowed || *z != me.zone);
-        let mut candidates: Vec<Daemon> =
-            lead.set.iter().map(|s| s.0.clone()).filter(|d| *d != me.id && is_in_allowed_zone(d) && !is_leaving(d)).collect();
+        let mut candidates: Vec<Daemon> = lead
+            .write_set
+            .iter()
+            .map(|s| s.0.clone())
+            .filter(|d| *d != me.id && is_in_allowed_zone(d) && !is_leaving(d))
+            .collect();
         if candidates.is_empty() {
             return candidates;
         }
@@ -75,9 +79,9 @@
         // Fenced peers have shown that they are reachable. A peer that lost its folder
         // does not count until its new folder is known to all. Among equals those in this
         // zone come first, so that each operation leaves the zone as seldom as possible.
-        let fitness = |d: &Daemon| match lead.folder_of(d) {
+        let fitness = |d: &Daemon| match lead.disk_id_of(d) {
             None => 1,
-            Some(disk_id) if lead.counts(d, disk_id) => 0,
+            Some(disk_id) if lead.is_counted(d, disk_id) => 0,
             Some(_) => 2,
         };
         let is_far = |d: &Daemon| zones.get(d).is_none_or(|z| *z != me.zone);
@@ -88,7 +92,9 @@
     /// A connection to a peer was closed. Where something waits for its acknowledgement,
     /// another backup is chosen at once.
     pub(super) fn on_peer_disconnected(&mut self, peer: &Daemon, now: Time) {
-        let awaits_peer = |part: &Part| part.own.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.waits.is_empty());
+        let awaits_peer = |part: &PartitionReplica| {
+            part.leader_state.as_ref().is_some_and(|o| o.backups.contains_key(peer) && !o.commit_actions.is_empty())
+        };
         let affected: Vec<PartitionId> =
             self.partitions.iter().filter(|(_, part)| awaits_peer(part)).map(|(k, _)| k.clone()).collect();
         for partition in affected {
@@ -104,15 +110,15 @@
         }
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
         let has_silent_backup = |lead: &LeaderState| {
-            let patience = Patience { least: lead.patience_least.now(now), longest };
+            let patience = SilenceLimits { min: lead.min_silence.current(now), max: longest };
             let is_silent =
                 |backup: &Daemon, since: &Time| lead.peers.get(backup).is_some_and(|s| s.is_silent(*since, patience, now));
-            !lead.waits.is_empty() && lead.backups.iter().any(|(backup, since)| is_silent(backup, since))
+            !lead.commit_actions.is_empty() && lead.backups.iter().any(|(backup, since)| is_silent(backup, since))
         };
         let affected: Vec<PartitionId> = self
             .partitions
             .iter()
-            .filter(|(_, part)| part.own.as_ref().is_some_and(has_silent_backup))
+            .filter(|(_, part)| part.leader_state.as_ref().is_some_and(has_silent_backup))
             .map(|(partition, _)| partition.clone())
             .collect();
         for partition in affected {
@@ -125,7 +131,7 @@
     /// Maintains the backups, and the stores of the write set whose copy does not count
     /// yet.
     pub(super) fn maintain_backups(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
         if lead.backups.is_empty() {
             self.choose_backups(partition, None, now);
         }
@@ -137,7 +143,7 @@
         }
         self.track_missing_copies(partition, now);
         self.to_replicate.insert(partition.clone());
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
         if lost.is_some() || lead.backups.len() < lead.backups_needed() {
             return self.choose_backups(partition, lost.as_ref(), now);
         }
@@ -153,40 +159,45 @@
     /// partition when it was fenced: then nothing has to be copied.
     fn rebalance_backup(&mut self, partition: &PartitionId, now: Time) {
         let zones: BTreeMap<Daemon, Zone> = self.link.members.values().map(|m| (m.id.clone(), m.zone.clone())).collect();
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
-        if lead.phase != Phase::Serving || lead.backups_needed() != 1 || lead.spread == Spread::Done {
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
+        if lead.phase != Phase::Serving || lead.backups_needed() != 1 || lead.balancing == BackupBalancing::Done {
             return;
         }
-        let preferred = match lead.spread {
-            Spread::Open => self.backup_candidates(partition, &zones).into_iter().next(),
+        let preferred = match lead.balancing {
+            BackupBalancing::NotStarted => self.backup_candidates(partition, &zones).into_iter().next(),
             _ => None,
         };
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
-        match lead.spread.clone() {
-            Spread::Open if now.since(lead.opened) > BACKUP_REBALANCE_WINDOW => lead.spread = Spread::Done,
-            Spread::Open => {
-                if lead.fences.len() + 1 < lead.set.len() {
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
+        match lead.balancing.clone() {
+            BackupBalancing::NotStarted if now.since(lead.serving_since) > BACKUP_REBALANCE_WINDOW => {
+                lead.balancing = BackupBalancing::Done
+            }
+            BackupBalancing::NotStarted => {
+                if lead.fenced_replicas.len() + 1 < lead.write_set.len() {
                     return;
                 }
-                lead.spread = Spread::Done;
+                lead.balancing = BackupBalancing::Done;
                 let Some(preferred) = preferred.filter(|d| !lead.backups.contains_key(d)) else { return };
-                let fenced_state = lead.fences.get(&preferred).filter(|replica| lead.counts(&preferred, replica.disk_id));
-                if fenced_state.is_some_and(|replica| lead.was == Some((replica.installed_epoch, replica.last_op))) {
+                let fenced_state =
+                    lead.fenced_replicas.get(&preferred).filter(|replica| lead.is_counted(&preferred, replica.disk_id));
+                if fenced_state.is_some_and(|replica| lead.recovered_state == Some((replica.installed_epoch, replica.last_op))) {
                     lead.backups.insert(preferred.clone(), now);
-                    lead.spread = Spread::Drawn(preferred);
+                    lead.balancing = BackupBalancing::CatchingUp(preferred);
                 }
             }
-            Spread::Drawn(preferred) if !lead.backups.contains_key(&preferred) => lead.spread = Spread::Done,
-            Spread::Drawn(preferred) => {
-                if lead.is_level(&preferred) {
+            BackupBalancing::CatchingUp(preferred) if !lead.backups.contains_key(&preferred) => {
+                lead.balancing = BackupBalancing::Done
+            }
+            BackupBalancing::CatchingUp(preferred) => {
+                if lead.is_caught_up(&preferred) {
                     lead.backups.retain(|backup, _| *backup == preferred);
-                    lead.spread = Spread::Done;
-                } else if now.since(lead.opened) > BACKUP_REBALANCE_WINDOW && lead.backups.len() > 1 {
+                    lead.balancing = BackupBalancing::Done;
+                } else if now.since(lead.serving_since) > BACKUP_REBALANCE_WINDOW && lead.backups.len() > 1 {
                     lead.backups.remove(&preferred);
-                    lead.spread = Spread::Done;
+                    lead.balancing = BackupBalancing::Done;
                 }
             }
-            Spread::Done => {}
+            BackupBalancing::Done => {}
         }
     }
 
@@ -198,21 +209,22 @@
         let this_zone = self.startup.me.zone.clone();
         let is_in_this_zone = |d: &Daemon| zones.get(d).is_some_and(|z| *z == this_zone);
         let candidates = self.backup_candidates(partition, &zones);
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         if lead.phase != Phase::Serving || lead.backups_needed() < 2 {
             return;
         }
         if lead.backups.len() > lead.backups_needed() {
-            return lead.release_far_backup(is_in_this_zone);
+            return lead.remove_backup_in_other_zone(is_in_this_zone);
         }
-        if lead.backups.keys().any(is_in_this_zone) || now.since(lead.near_drawn) < SAME_ZONE_BACKUP_RETRY_DELAY {
+        if lead.backups.keys().any(is_in_this_zone) || now.since(lead.same_zone_backup_changed_at) < SAME_ZONE_BACKUP_RETRY_DELAY
+        {
             return;
         }
-        let is_counted = |d: &Daemon| lead.folder_of(d).is_some_and(|disk_id| lead.counts(d, disk_id));
+        let is_counted = |d: &Daemon| lead.disk_id_of(d).is_some_and(|disk_id| lead.is_counted(d, disk_id));
         let Some(next) = candidates.into_iter().find(|d| is_in_this_zone(d) && is_counted(d)) else { return };
-        lead.near_drawn = now;
+        lead.same_zone_backup_changed_at = now;
         lead.backups.insert(next, now);
-        lead.asked = Time(0);
+        lead.last_request = Time(0);
     }
 
     /// Returns the backups that need a complete copy, and one that has to be replaced: it
@@ -226,27 +238,27 @@
         let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *this_zone);
         let (mut to_copy, mut lost) = (Vec::new(), None);
         let Some(part) = self.partitions.get_mut(partition) else { return (to_copy, lost) };
-        let Some(lead) = part.own.as_mut() else { return (to_copy, lost) };
-        let last_op = part.n;
-        let patience = Patience { least: lead.patience_least.now(now), longest };
+        let Some(lead) = part.leader_state.as_mut() else { return (to_copy, lost) };
+        let last_op = part.last_op;
+        let patience = SilenceLimits { min: lead.min_silence.current(now), max: longest };
         for (backup, since) in lead.backups.clone() {
-            let has_empty_disk = lead.has_lost_its_disk(&backup) && lead.has_other_backup(&backup, &self.startup.me.id, is_far);
+            let has_empty_disk = lead.has_lost_disk(&backup) && lead.has_alternative_backup(&backup, &self.startup.me.id, is_far);
             let peer = lead.peers.entry(backup.clone()).or_default();
-            let is_behind = peer.note_behind(last_op, now);
+            let is_behind = peer.update_behind(last_op, now);
             let is_silent = !is_catching_up && peer.is_silent(since, patience, now);
-            let is_leaving = lead.swap.as_ref().is_some_and(|s| s.0 == backup);
+            let is_leaving = lead.replacement.as_ref().is_some_and(|s| s.0 == backup);
             if (is_behind && is_silent) || is_leaving || has_empty_disk {
                 if lost.is_none() && !is_leaving && !has_empty_disk {
-                    lead.patience_least.note_given_way(longest, now);
+                    lead.min_silence.record_replacement(longest, now);
                 }
                 lost.get_or_insert(backup);
                 continue;
             }
-            if is_behind && now.since(peer.asked) > BACKUP_RETRY_DELAY {
-                peer.asked = now;
-                match peer.have {
+            if is_behind && now.since(peer.last_request) > BACKUP_RETRY_DELAY {
+                peer.last_request = now;
+                match peer.synced_op {
                     None => to_copy.push(backup.clone()),
-                    Some(h) => peer.sent = h,
+                    Some(h) => peer.sent_op = h,
                 }
             }
         }
@@ -258,20 +270,20 @@
     /// too: one of them may be the only store there.
     fn stores_needing_copy(&mut self, partition: &PartitionId, now: Time) -> Vec<Daemon> {
         let mut to_copy = Vec::new();
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return to_copy };
-        if !lead.is_whole() {
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return to_copy };
+        if !lead.has_complete_data() {
             return to_copy;
         }
-        let joining_seat = lead.swap.iter().map(|s| (s.1.clone(), IncarnationId(0)));
-        for (store, counted_disk_id) in lead.set.clone().into_iter().chain(joining_seat) {
+        let joining_seat = lead.replacement.iter().map(|s| (s.1.clone(), IncarnationId(0)));
+        for (store, counted_disk_id) in lead.write_set.clone().into_iter().chain(joining_seat) {
             let current_disk_id = self.link.members.get(&store).map(|m| m.disk_id);
             if store == self.startup.me.id || current_disk_id.is_none_or(|m| m == counted_disk_id) {
                 continue;
             }
-            let is_complete = lead.whole.get(&store) == current_disk_id.as_ref();
+            let is_complete = lead.complete_copies.get(&store) == current_disk_id.as_ref();
             let peer = lead.peers.entry(store.clone()).or_default();
-            if !is_complete && now.since(peer.asked) > SEAT_COPY_RETRY_DELAY {
-                peer.asked = now;
+            if !is_complete && now.since(peer.last_request) > SEAT_COPY_RETRY_DELAY {
+                peer.last_request = now;
                 to_copy.push(store);
             }
         }
@@ -284,41 +296,47 @@
     pub(super) fn seats_without_copy(&self, lead: &LeaderState) -> Vec<Daemon> {
         let has_other_folder =
             |seat: &&(Daemon, IncarnationId)| self.link.members.get(&seat.0).is_none_or(|member| member.disk_id != seat.1);
-        lead.set.iter().filter(has_other_folder).map(|seat| seat.0.clone()).collect()
+        lead.write_set.iter().filter(has_other_folder).map(|seat| seat.0.clone()).collect()
     }
 
     /// Records since when copies are missing, and logs it if that lasts.
     fn track_missing_copies(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
-        let (shortage, missing) = (lead.short, self.seats_without_copy(lead));
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
+        let (shortage, missing) = (lead.missing_copies, self.seats_without_copy(lead));
         let names: Vec<String> = missing.iter().map(Daemon::to_string).collect();
         let new_shortage = match shortage {
             _ if missing.is_empty() => None,
-            None => Some(ShortOfCopies { since: now, told: false }),
-            Some(known) => Some(ShortOfCopies { told: known.told || now.since(known.since) > MISSING_COPIES_LOG_DELAY, ..known }),
+            None => Some(MissingCopies { since: now, reported: false }),
+            Some(known) => {
+                Some(MissingCopies { reported: known.reported || now.since(known.since) > MISSING_COPIES_LOG_DELAY, ..known })
+            }
         };
-        let (was_logged, is_logged) = (shortage.is_some_and(|s| s.told), new_shortage.is_some_and(|s| s.told));
+        let (was_logged, is_logged) = (shortage.is_some_and(|s| s.reported), new_shortage.is_some_and(|s| s.reported));
         if is_logged && !was_logged {
             self.log(LogEvent::TooFewCopies, format!("{partition} lacks {}", names.join(", ")));
         }
         if was_logged && new_shortage.is_none() {
             self.log(LogEvent::CopiesRestored, partition.to_string());
         }
-        if let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) {
-            lead.short = new_shortage;
+        if let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) {
+            lead.missing_copies = new_shortage;
         }
     }
 
     /// Fences stores of the write set that were never fenced, as they may have come back.
     fn fence_unfenced(&mut self, partition: &PartitionId, now: Time) {
-        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.own.as_mut()) else { return };
+        let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         let me = &self.startup.me.id;
-        let unfenced: Vec<Daemon> =
-            lead.set.iter().map(|seat| seat.0.clone()).filter(|d| d != me && !lead.fences.contains_key(d)).collect();
-        if lead.phase != Phase::Serving || unfenced.is_empty() || now.since(lead.asked) <= FENCE_RETRY_DELAY {
+        let unfenced: Vec<Daemon> = lead
+            .write_set
+            .iter()
+            .map(|seat| seat.0.clone())
+            .filter(|d| d != me && !lead.fenced_replicas.contains_key(d))
+            .collect();
+        if lead.phase != Phase::Serving || unfenced.is_empty() || now.since(lead.last_request) <= FENCE_RETRY_DELAY {
             return;
         }
-        lead.asked = now;
+        lead.last_request = now;
         let epoch = lead.epoch;
         for store in unfenced {
             self.send(&store, PeerMessage::Fence { partition: partition.clone(), epoch });
@@ -327,11 +345,16 @@
 
     /// Tells a peer that it lacks this epoch, so that it requests a copy.
     fn offer_copy(&mut self, partition: &PartitionId, peer: Daemon) {
-        let Some(lead) = self.partitions.get(partition).and_then(|part| part.own.as_ref()) else { return };
-        let disk_id = lead.set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
-        let must_fetch = lead.peers.get(&peer).is_some_and(|s| s.short);
-        let message =
-            PeerMessage::Lagging { partition: partition.clone(), epoch: lead.epoch, expected: lead.was, disk_id, must_fetch };
+        let Some(lead) = self.partitions.get(partition).and_then(|part| part.leader_state.as_ref()) else { return };
+        let disk_id = lead.write_set.iter().find(|seat| seat.0 == peer).map_or(IncarnationId(0), |seat| seat.1);
+        let must_fetch = lead.peers.get(&peer).is_some_and(|s| s.must_fetch);
+        let message = PeerMessage::Lagging {
+            partition: partition.clone(),
+            epoch: lead.epoch,
+            expected: lead.recovered_state,
+            disk_id,
+            must_fetch,
+        };
         self.log(LogEvent::CopyRepairing, format!("{partition} at {peer}"));
         self.send(&peer, message);
     }
--- a/crates/queue/src/store/copy_source.rs
+++ b/crates/queue/src/store/copy_source.rs
@@ -23,7 +23,7 @@
     /// under it and is complete.
     fn may_send_copies(&self, partition: &PartitionId, epoch: Epoch) -> bool {
         let Some(part) = self.partitions.get(partition) else { return false };
-        part.promised == epoch && part.own.as_ref().is_none_or(LeaderState::is_whole)
+        part.promised_epoch == epoch && part.leader_state.as_ref().is_none_or(LeaderState::has_complete_data)
     }
 
     /// Sends the list of all records to a store of a version that does not know copies in
@@ -32,7 +32,7 @@
         if !self.may_send_copies(&partition, epoch) {
             return;
         }
-        let snapshot = self.partitions[&partition].digest();
+        let snapshot = self.partitions[&partition].snapshot();
         self.send(&from, PeerMessage::WholeCopy { partition, epoch, snapshot });
     }
 
@@ -42,10 +42,13 @@
             return;
         }
         // A peer that is copying is not silent, however long that takes.
-        let peer =
-            self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
+        let peer = self
+            .partitions
+            .get_mut(&partition)
+            .and_then(|part| part.leader_state.as_mut())
+            .and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
-            peer.heard = now;
+            peer.last_contact = now;
         }
         let bodies = self.bodies_of(&partition, &ids, now);
         let waiter = BodyWaiter::FetchBodies { from: from.clone(), epoch, ids };
@@ -69,10 +72,13 @@
             return;
         }
         // A peer that is copying is not silent, however long that takes.
-        let peer =
-            self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()).and_then(|lead| lead.peers.get_mut(&from));
+        let peer = self
+            .partitions
+            .get_mut(&partition)
+            .and_then(|part| part.leader_state.as_mut())
+            .and_then(|lead| lead.peers.get_mut(&from));
         if let Some(peer) = peer {
-            peer.heard = now;
+            peer.last_contact = now;
         }
         let bodies = self.bodies_of(&partition, &request.wanted, now);
         let waiter = BodyWaiter::CopyPart { from: from.clone(), epoch, request: request.clone() };
@@ -85,8 +91,8 @@
         }
         self.counts.bodies_sent += bodies.in_memory.len() as u64;
         let part = Box::new(self.partitions[&partition].copy_part(request.position, bodies.in_memory));
-        if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
-            lead.note_copying(from.clone(), part.last_op, now);
+        if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.leader_state.as_mut()) {
+            lead.record_copying_peer(from.clone(), part.last_op, now);
         }
         self.send(&from, PeerMessage::CopyPart { partition, epoch, part });
     }
@@ -97,7 +103,8 @@
         let mut bodies = Bodies::default();
         let mut size = 0;
         for id in ids {
-            let Some(len) = self.partitions[partition].recs.get(id).map(|record| record.head.len as usize).filter(|len| *len > 0)
+            let Some(len) =
+                self.partitions[partition].records.get(id).map(|record| record.header.len as usize).filter(|len| *len > 0)
             else {
                 continue;
             };
@@ -126,7 +133,7 @@
     }
 }
 
-impl Part {
+impl PartitionReplica {
     /// The part of a copy that continues from `position`, or from the beginning if the
     /// operations since then are no longer kept.
     fn copy_part(&self, position: Option<CopyPosition>, bodies: Vec<(MessageId, Bytes)>) -> CopyPart {
@@ -135,24 +142,24 @@
             Some((ops, at)) => (ops, Some(at)),
             None => (Vec::new(), None),
         };
-        let n = from.as_ref().map_or(self.n, |at| at.last_op + ops.len() as u64);
+        let n = from.as_ref().map_or(self.last_op, |at| at.last_op + ops.len() as u64);
         // The records are those after the last operation. If some operations follow only
         // in a later part, records sent now would not match them.
-        let (records, complete) = match n == self.n {
+        let (records, complete) = match n == self.last_op {
             true => self.records_after(from.as_ref().map(|at| &at.last_id)),
             false => (Vec::new(), false),
         };
         let is_known = |op: &PartitionOp| from.as_ref().is_some_and(|at| *op.id() <= at.last_id);
         let ops = ops.into_iter().filter(is_known).collect();
-        CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next, complete }
+        CopyPart { from, ops, bodies, records, last_op: n, next_seq: self.next_seq, complete }
     }
 
     /// The operations after number `n`, as many as are sent at once. `None` if they are
     /// no longer kept.
     fn ops_since(&self, n: u64) -> Option<Vec<PartitionOp>> {
-        match &self.own {
-            _ if n == self.n => Some(Vec::new()),
-            Some(lead) if n < self.n => lead.ops_from(n + 1, self.n),
+        match &self.leader_state {
+            _ if n == self.last_op => Some(Vec::new()),
+            Some(lead) if n < self.last_op => lead.retained_ops_from(n + 1, self.last_op),
             _ => None,
         }
     }
@@ -160,12 +167,12 @@
     /// The next records by id, and whether these are the last.
     fn records_after(&self, after: Option<&MessageId>) -> (Vec<(MessageHeader, Stage)>, bool) {
         let begin = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let mut rest = self.recs.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
+        let mut rest = self.records.range::<MessageId, _>((begin, Bound::Unbounded)).map(|entry| entry.1).peekable();
         let mut records = Vec::new();
         let mut size = 0;
         while let Some(record) = rest.next_if(|_| records.len() < MAX_RECORDS_PER_PART && size < MAX_RECORD_BYTES_PER_PART) {
-            size += record_size(&record.head);
-            records.push((record.head.clone(), record.stage));
+            size += record_size(&record.header);
+            records.push((record.header.clone(), record.stage));
         }
         (records, rest.peek().is_none())
     }
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -50,7 +50,7 @@
         let Some(Departure { since, seats }) = self.departure else { return };
         self.mark_all_for_release(now);
         let waited = now.since(since);
-        let leads_nothing = self.partitions.values().all(|part| part.own.is_none());
+        let leads_nothing = self.partitions.values().all(|part| part.leader_state.is_none());
         let has_answered = waited >= ANSWER_DELIVERY_TIME && !self.link.is_pull_due(now);
         let is_taken_over = self.has_other_leaders() || waited > PLACEMENT_ANSWER_TIMEOUT;
         let may_leave_seats = match seats {
--- a/crates/queue/src/store/disk_stuck.rs
+++ b/crates/queue/src/store/disk_stuck.rs
@@ -37,12 +37,14 @@
         let releasable: Vec<PartitionId> = self
             .partitions
             .iter()
-            .filter(|(_, part)| part.own.as_ref().is_some_and(|lead| self.has_majority_without_this_store(&lead.set)))
+            .filter(|(_, part)| {
+                part.leader_state.as_ref().is_some_and(|lead| self.has_majority_without_this_store(&lead.write_set))
+            })
             .map(|(partition, _)| partition.clone())
             .collect();
         for partition in releasable {
-            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
-                lead.shed.get_or_insert(now);
+            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.leader_state.as_mut()) {
+                lead.releasing_since.get_or_insert(now);
             }
         }
     }
@@ -52,6 +54,6 @@
     /// for a released one.
     pub(super) fn unfit_as_leader(&self, now: Time) -> bool {
         let has_lease = self.link.leases.active(now).iter().any(|(duty, _)| matches!(duty, Duty::Lead(_)));
-        self.must_release_partitions(now) && !has_lease && self.partitions.values().all(|part| part.own.is_none())
+        self.must_release_partitions(now) && !has_lease && self.partitions.values().all(|part| part.leader_state.is_none())
     }
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -104,13 +104,17 @@
     fn end_attempts_of_earlier_incarnations(&mut self, from: &Daemon, incarnation: IncarnationId, now: Time) {
         let mut ended = Vec::new();
         for (partition, part) in &self.partitions {
-            let Some(lead) = part.own.as_ref() else { continue };
-            let of_earlier = lead.lane.flights.iter().filter(|(_, f)| f.to == *from && f.goal.is_some() && f.life != incarnation);
-            ended.extend(of_earlier.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.lane.ids.get(seq)?.clone()))));
+            let Some(lead) = part.leader_state.as_ref() else { continue };
+            let of_earlier = lead
+                .queues
+                .in_flight
+                .iter()
+                .filter(|(_, f)| f.delivery == *from && f.destination.is_some() && f.incarnation != incarnation);
+            ended.extend(of_earlier.filter_map(|(seq, _)| Some((partition.clone(), *seq, lead.queues.ids.get(seq)?.clone()))));
         }
         for (partition, seq, id) in ended {
-            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.own.as_mut()) {
-                lead.lane.flights.remove(&seq);
+            if let Some(lead) = self.partitions.get_mut(&partition).and_then(|part| part.leader_state.as_mut()) {
+                lead.queues.in_flight.remove(&seq);
             }
             self.retry_routed(&partition, &id, AttemptOutcome::Unknown, now);
         }
@@ -129,29 +133,29 @@
         let deliveries: BTreeSet<&Daemon> = self.link.members.keys().filter(|d| d.kind() == DaemonKind::Delivery).collect();
         for (partition, epoch) in partitions {
             let Some(part) = self.partitions.get_mut(partition) else { continue };
-            let Some(lead) = part.own.as_mut() else { continue };
-            if lead.epoch != *epoch || lead.phase != Phase::Serving || lead.quiet <= now {
+            let Some(lead) = part.leader_state.as_mut() else { continue };
+            if lead.epoch != *epoch || lead.phase != Phase::Serving || lead.hold_until <= now {
                 continue;
             }
             let claimed = in_flight
                 .iter()
                 .filter(|h| h.partition == *partition)
-                .filter_map(|h| part.recs.get(&h.id))
-                .map(|record| record.head.seq);
-            lead.vouched.insert(from.clone(), claimed.collect());
-            if !deliveries.iter().all(|d| lead.vouched.contains_key(*d)) {
+                .filter_map(|h| part.records.get(&h.id))
+                .map(|record| record.header.seq);
+            lead.reported_in_flight.insert(from.clone(), claimed.collect());
+            if !deliveries.iter().all(|d| lead.reported_in_flight.contains_key(*d)) {
                 continue;
             }
-            let claimed: BTreeSet<u64> = lead.vouched.values().flatten().copied().collect();
-            let quiet = lead.quiet;
-            for due in lead.lane.posts.values_mut() {
+            let claimed: BTreeSet<u64> = lead.reported_in_flight.values().flatten().copied().collect();
+            let quiet = lead.hold_until;
+            for due in lead.queues.routed.values_mut() {
                 let unclaimed = |entry: &(Time, u64)| entry.0 == quiet && !claimed.contains(&entry.1);
                 let unclaimed: Vec<u64> = due.iter().filter(unclaimed).map(|entry| entry.1).collect();
                 for seq in unclaimed {
-                    due.put_off(seq, now);
+                    due.reschedule(seq, now);
                 }
             }
-            for set in lead.lane.calls.values_mut() {
+            for set in lead.queues.callbacks.values_mut() {
                 let unclaimed: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !claimed.contains(s)).map(|x| x.1).collect();
                 for seq in unclaimed {
                     set.remove(&(quiet, seq));
@@ -174,17 +178,17 @@
         let mut in_flight: BTreeMap<(Destination, Daemon), u32> = BTreeMap::new();
         let mut destinations: BTreeMap<Destination, Vec<ReadyQueue>> = BTreeMap::new();
         for (partition, part) in &self.partitions {
-            let Some(lead) = part.own.as_ref() else { continue };
-            for f in lead.lane.flights.values() {
-                if let Some(g) = &f.goal {
-                    *in_flight.entry((g.clone(), f.to.clone())).or_default() += 1;
+            let Some(lead) = part.leader_state.as_ref() else { continue };
+            for f in lead.queues.in_flight.values() {
+                if let Some(g) = &f.destination {
+                    *in_flight.entry((g.clone(), f.delivery.clone())).or_default() += 1;
                 }
             }
-            if lead.shed.is_some() || !self.link.rules.spooled(partition) || !self.is_serving(partition, now) {
+            if lead.releasing_since.is_some() || !self.link.rules.spooled(partition) || !self.is_serving(partition, now) {
                 continue;
             }
-            for (route_name, due) in &lead.lane.posts {
-                let Some(first) = due.oldest(now) else { continue };
+            for (route_name, due) in &lead.queues.routed {
+                let Some(first) = due.oldest_ready(now) else { continue };
                 let Some(route) = self.link.rules.routes.get(route_name) else { continue };
                 let queue = ReadyQueue {
                     priority: route.priority,
@@ -194,7 +198,7 @@
                 };
                 destinations.entry(Destination::Service(route.service.clone())).or_default().push(queue);
             }
-            for (callback, set) in &lead.lane.calls {
+            for (callback, set) in &lead.queues.callbacks {
                 let Some((first, _)) = set.first().filter(|f| f.0 <= now) else { continue };
                 let queue = ReadyQueue {
                     priority: 0,
@@ -273,25 +277,25 @@
         let mut reads = 0;
         loop {
             let part = self.partitions.get_mut(partition)?;
-            let lead = part.own.as_mut()?;
+            let lead = part.leader_state.as_mut()?;
             let (due, seq) = match is_callback {
-                true => lead.lane.pop(Some(&queue.route_or_address), now)?,
-                false => match (lead.lane.posts.get_mut(&queue.route_or_address)?, oldest_first) {
+                true => lead.queues.pop_due(Some(&queue.route_or_address), now)?,
+                false => match (lead.queues.routed.get_mut(&queue.route_or_address)?, oldest_first) {
                     (due, true) => due.pop_oldest(now)?,
-                    (due, false) => due.pop_fresh(on_time_since, now)?,
+                    (due, false) => due.pop_in_time(on_time_since, now)?,
                 },
             };
-            let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
-            let id = record.head.id.clone();
-            if lead.won.contains(&seq) {
+            let Some(record) = lead.queues.ids.get(&seq).and_then(|id| part.records.get(id)) else { continue };
+            let id = record.header.id.clone();
+            if lead.unpublished_successes.contains(&seq) {
                 self.release_deferred_success(partition, &id, now);
                 continue;
             }
             if !self.may_dispatch(partition, &id, is_callback) {
                 continue;
             }
-            let record = self.partitions.get(partition)?.recs.get(&id)?;
-            if !is_callback && max_age.is_some_and(|w| now.since(record.taken) > w) {
+            let record = self.partitions.get(partition)?.records.get(&id)?;
+            if !is_callback && max_age.is_some_and(|w| now.since(record.received_at) > w) {
                 let next = stage_after_work(record, Outcome::Expired);
                 self.set_stage(partition, &id, next, None, now);
                 continue;
@@ -300,8 +304,13 @@
                 Ok(x) => x,
                 Err(is_corrupt) => {
                     let part = self.partitions.get_mut(partition)?;
-                    let key = part.recs.get(&id).map(|record| record.head.key.clone()).unwrap_or_default();
-                    part.own.as_mut()?.lane.post(&queue.route_or_address, &key, now + BODY_READ_RETRY_DELAY, seq);
+                    let key = part.records.get(&id).map(|record| record.header.key.clone()).unwrap_or_default();
+                    part.leader_state.as_mut()?.queues.enqueue_routed(
+                        &queue.route_or_address,
+                        &key,
+                        now + BODY_READ_RETRY_DELAY,
+                        seq,
+                    );
                     if is_corrupt {
                         self.on_corrupt_body(partition, &id, now);
                         continue;
@@ -315,21 +324,21 @@
                 }
             };
             let part = self.partitions.get_mut(partition)?;
-            let stage = part.recs.get(&id)?.stage;
-            let lead = part.own.as_mut()?;
-            lead.attempts += 1;
-            let (epoch, attempt_id) = (lead.epoch, lead.attempts);
+            let stage = part.records.get(&id)?.stage;
+            let lead = part.leader_state.as_mut()?;
+            lead.attempt_count += 1;
+            let (epoch, attempt_id) = (lead.epoch, lead.attempt_count);
             let duty = Duty::TargetShard(String::new());
-            let flight = Flight {
+            let flight = DispatchedAttempt {
                 duty: duty.clone(),
-                to: to.clone(),
+                delivery: to.clone(),
                 attempt: attempt_id,
-                owes: String::new(),
-                goal: Some(destination.clone()),
-                life: incarnation,
-                end: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
+                callback: String::new(),
+                destination: Some(destination.clone()),
+                incarnation: incarnation,
+                deadline: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
-            lead.lane.flights.insert(seq, flight);
+            lead.queues.in_flight.insert(seq, flight);
             let partition = partition.clone();
             return Some(Offer {
                 duty,
@@ -354,8 +363,12 @@
         id: &MessageId,
         is_callback: bool,
     ) -> Result<(MessageHeader, Bytes), bool> {
-        let header =
-            self.partitions.get(partition).and_then(|part| part.recs.get(id)).map(|record| record.head.clone()).ok_or(true)?;
+        let header = self
+            .partitions
+            .get(partition)
+            .and_then(|part| part.records.get(id))
+            .map(|record| record.header.clone())
+            .ok_or(true)?;
         if is_callback {
             return Ok((MessageHeader { len: 0, crc: crc32(b""), ..header }, Bytes::new()));
         }
@@ -368,8 +381,11 @@
 
     /// The deadline of an attempt has passed without a result.
     pub(super) fn on_attempt_expired(&mut self, partition: &PartitionId, id: &MessageId, now: Time) {
-        let routed =
-            self.partitions.get(partition).and_then(|part| part.recs.get(id)).is_some_and(|record| !record.head.route.is_empty());
+        let routed = self
+            .partitions
+            .get(partition)
+            .and_then(|part| part.records.get(id))
+            .is_some_and(|record| !record.header.route.is_empty());
         match routed {
             true => self.retry_routed(partition, id, AttemptOutcome::Unknown, now),
             false => self.retry_or_give_up(partition, id, true, now),
@@ -381,44 +397,46 @@
     pub(super) fn retry_routed(&mut self, partition: &PartitionId, id: &MessageId, outcome: AttemptOutcome, now: Time) {
         let jitter = self.rng.u64(70..=100);
         let Some(part) = self.partitions.get_mut(partition) else { return };
-        let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get_mut(id)) else { return };
-        let seq = record.head.seq;
-        if lead.won.contains(&seq) {
+        let (Some(lead), Some(record)) = (part.leader_state.as_mut(), part.records.get_mut(id)) else { return };
+        let seq = record.header.seq;
+        if lead.unpublished_successes.contains(&seq) {
             return self.release_deferred_success(partition, id, now);
         }
         let backoff = |base: Span, n: u32, cap: Span| Span((base.0 << n.min(12)).min(cap.0)).percent(jitter);
         match record.stage {
             Stage::Pending => {
-                let Some(route) = self.link.rules.routes.get(&record.head.route) else {
+                let Some(route) = self.link.rules.routes.get(&record.header.route) else {
                     let next = stage_after_work(record, Outcome::Expired);
                     return self.set_stage(partition, id, next, None, now);
                 };
-                record.tries += u32::from(outcome == AttemptOutcome::Failed);
-                if record.tries >= route.attempts {
+                record.failed_attempts += u32::from(outcome == AttemptOutcome::Failed);
+                if record.failed_attempts >= route.attempts {
                     let next = stage_after_work(record, Outcome::GivenUp);
                     return self.set_stage(partition, id, next, None, now);
                 }
                 let delay = match outcome {
-                    AttemptOutcome::Failed => backoff(FAILED_RETRY_DELAY, record.tries - 1, MAX_FAILED_RETRY_DELAY),
+                    AttemptOutcome::Failed => backoff(FAILED_RETRY_DELAY, record.failed_attempts - 1, MAX_FAILED_RETRY_DELAY),
                     AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
                     // A message that always exceeds its time must not take a worker's
                     // slot again and again.
                     _ => {
-                        let delay =
-                            Span((UNKNOWN_OUTCOME_RETRY_DELAY.0 << record.doubts.min(12)).min(MAX_UNKNOWN_OUTCOME_RETRY_DELAY.0));
-                        record.doubts += 1;
+                        let delay = Span(
+                            (UNKNOWN_OUTCOME_RETRY_DELAY.0 << record.unknown_outcomes.min(12))
+                                .min(MAX_UNKNOWN_OUTCOME_RETRY_DELAY.0),
+                        );
+                        record.unknown_outcomes += 1;
                         delay
                     }
                 };
-                lead.lane.post(&record.head.route, &record.head.key, now + delay, seq);
+                lead.queues.enqueue_routed(&record.header.route, &record.header.key, now + delay, seq);
             }
             Stage::EndedAwaitingCallback(_) => {
                 let delay = match outcome {
                     AttemptOutcome::NotStarted => NOT_STARTED_RETRY_DELAY,
-                    _ => backoff(CALLBACK_RETRY_DELAY, record.tries, MAX_CALLBACK_RETRY_DELAY),
+                    _ => backoff(CALLBACK_RETRY_DELAY, record.failed_attempts, MAX_CALLBACK_RETRY_DELAY),
                 };
-                record.tries += u32::from(outcome != AttemptOutcome::NotStarted);
-                lead.lane.calls.entry(record.head.callback.clone()).or_default().insert((now + delay, seq));
+                record.failed_attempts += u32::from(outcome != AttemptOutcome::NotStarted);
+                lead.queues.callbacks.entry(record.header.callback.clone()).or_default().insert((now + delay, seq));
             }
             Stage::SucceededAwaitingCallback | Stage::Ended(_) => {}
         }
@@ -430,24 +448,25 @@
         let rules = &self.link.rules;
         let mut expired: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
         for (partition, part) in self.partitions.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
-            let Some(lead) = part.own.as_ref() else { continue };
-            for (route_name, due) in &lead.lane.posts {
+            let Some(lead) = part.leader_state.as_ref() else { continue };
+            for (route_name, due) in &lead.queues.routed {
                 let route = rules.routes.get(route_name);
                 for (_, seq) in due.iter() {
-                    let Some(record) = lead.lane.ids.get(&seq).and_then(|id| part.recs.get(id)) else { continue };
+                    let Some(record) = lead.queues.ids.get(&seq).and_then(|id| part.records.get(id)) else { continue };
                     // A message whose success is deferred has not expired.
-                    let may_expire = !lead.won.contains(&seq) && !lead.lane.rests(seq, lead.quiet, now);
-                    if route.is_none_or(|x| now.since(record.taken) > x.worth) && may_expire {
-                        expired.push((partition.clone(), record.head.id.clone(), stage_after_work(record, Outcome::Expired)));
+                    let may_expire =
+                        !lead.unpublished_successes.contains(&seq) && !lead.queues.is_held(seq, lead.hold_until, now);
+                    if route.is_none_or(|x| now.since(record.received_at) > x.worth) && may_expire {
+                        expired.push((partition.clone(), record.header.id.clone(), stage_after_work(record, Outcome::Expired)));
                     }
                 }
             }
         }
         for (partition, id, next) in expired {
             if let Some(part) = self.partitions.get_mut(&partition) {
-                let (Some(lead), Some(record)) = (part.own.as_mut(), part.recs.get(&id)) else { continue };
-                if let Some(due) = lead.lane.posts.get_mut(&record.head.route) {
-                    due.take(record.head.seq);
+                let (Some(lead), Some(record)) = (part.leader_state.as_mut(), part.records.get(&id)) else { continue };
+                if let Some(due) = lead.queues.routed.get_mut(&record.header.route) {
+                    due.remove(record.header.seq);
                 }
             }
             self.set_stage(&partition, &id, next, None, now);
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -17,30 +17,32 @@
         for partition in led {
             self.expire_overdue_attempts(&partition, now);
             let Some(part) = self.partitions.get_mut(&partition) else { continue };
-            let Some(lead) = part.own.as_mut() else { continue };
+            let Some(lead) = part.leader_state.as_mut() else { continue };
             // Deferred successes whose other attempts are over by now.
-            let (quiet, lane) = (lead.quiet, &lead.lane);
+            let (quiet, lane) = (lead.hold_until, &lead.queues);
             let to_release: Vec<MessageId> = lead
-                .won
+                .unpublished_successes
                 .iter()
-                .filter(|s| !lane.flights.contains_key(s) && !lane.rests(**s, quiet, now))
+                .filter(|s| !lane.in_flight.contains_key(s) && !lane.is_held(**s, quiet, now))
                 .filter_map(|s| lane.ids.get(s).cloned())
                 .collect();
             let mut to_drop = Vec::new();
             let mut expired = Vec::new();
             let mut stranded = Vec::new();
-            for (id, record) in &part.recs {
+            for (id, record) in &part.records {
                 match record.stage {
-                    Stage::Ended(_) if retain > Span::ZERO && now.since(record.ended) > retain => to_drop.push(id.clone()),
+                    Stage::Ended(_) if retain > Span::ZERO && now.since(record.ended_at) > retain => to_drop.push(id.clone()),
                     Stage::Pending
-                        if record.head.ttl.is_some_and(|t| now.since(record.taken) > t)
-                            && !lead.lane.flights.contains_key(&record.head.seq)
-                            && !lead.won.contains(&record.head.seq) =>
+                        if record.header.ttl.is_some_and(|t| now.since(record.received_at) > t)
+                            && !lead.queues.in_flight.contains_key(&record.header.seq)
+                            && !lead.unpublished_successes.contains(&record.header.seq) =>
                     {
                         expired.push(id.clone());
                     }
                     Stage::Pending
-                        if !record.head.route.is_empty() && !lead.shown.contains_key(id) && !lead.lane.stands(&record.head) =>
+                        if !record.header.route.is_empty()
+                            && !lead.visible_stages.contains_key(id)
+                            && !lead.queues.is_tracked(&record.header) =>
                     {
                         stranded.push(id.clone());
                     }
@@ -73,15 +75,26 @@
         if retain == Span::ZERO {
             return;
         }
-        for (partition, part) in self.partitions.iter_mut().filter(|(_, part)| part.own.is_none() && part.fetch.is_none()) {
-            let is_past_retention = |record: &Rec| {
-                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended) > retain + REPLICA_RETENTION_MARGIN
+        for (partition, part) in
+            self.partitions.iter_mut().filter(|(_, part)| part.leader_state.is_none() && part.copy_fetch.is_none())
+        {
+            let is_past_retention = |record: &Record| {
+                matches!(record.stage, Stage::Ended(_)) && now.since(record.ended_at) > retain + REPLICA_RETENTION_MARGIN
             };
-            let expired: Vec<MessageId> =
-                part.recs.iter().filter(|(_, record)| is_past_retention(record)).map(|(id, _)| id.clone()).take(1000).collect();
+            let expired: Vec<MessageId> = part
+                .records
+                .iter()
+                .filter(|(_, record)| is_past_retention(record))
+                .map(|(id, _)| id.clone())
+                .take(1000)
+                .collect();
             for id in expired {
-                self.held_bytes += part.drop(partition, &id, &mut self.ledger);
-                self.ledger.push(Line::Op { place: partition.clone(), n: part.n, op: PartitionOp::Remove(id) });
+                self.held_bytes += part.remove_record(partition, &id, &mut self.ledger);
+                self.ledger.push(JournalEntry::Op {
+                    partition: partition.clone(),
+                    number: part.last_op,
+                    op: PartitionOp::Remove(id),
+                });
             }
         }
     }
@@ -117,19 +130,19 @@
     /// can be removed. Bodies that are not in memory are read back for the next time.
     fn rewrite_oldest_file(&mut self) {
         // A record's lines take some space beyond its body.
-        let count: usize = self.partitions.values().map(|part| part.recs.len()).sum();
+        let count: usize = self.partitions.values().map(|part| part.records.len()).sum();
         let live_bytes = self.held_bytes.max(0) as u64 + count as u64 * 400;
-        let Some((first, last)) = self.ledger.sparse(live_bytes) else { return };
+        let Some((first, last)) = self.ledger.sparse_segment(live_bytes) else { return };
         let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
         for (partition, part) in &self.partitions {
-            for record in part.recs.values().filter(|record| first <= record.home && record.home <= last) {
-                size += u64::from(record.head.len) + 256;
+            for record in part.records.values().filter(|record| first <= record.saved_in && record.saved_in <= last) {
+                size += u64::from(record.header.len) + 256;
                 if size > MAX_REWRITE_BYTES {
                     break;
                 }
-                let list = if record.bytes().is_some() { &mut in_memory } else { &mut on_disk };
-                list.push((partition.clone(), record.head.id.clone()));
+                let list = if record.loaded_body().is_some() { &mut in_memory } else { &mut on_disk };
+                list.push((partition.clone(), record.header.id.clone()));
             }
         }
         for (partition, id) in in_memory {
