--- a/crates/scale/src/axes/frames.rs
+++ b/crates/scale/src/axes/frames.rs
@@ -4,8 +4,8 @@
 use crate::prelude::*;
 use crate::thread_time::process_nanos;
 use crossbeam_channel::bounded;
+use dw_shell::peer_transport;
 use dw_shell::prelude::Startup;
-use dw_shell::wires;
 use std::time::Duration;
 
 const FRAMES: u64 = 2000;
@@ -39,17 +39,17 @@
     let (a, b) = (startup("store-1", free_port()?)?, startup("store-2", free_port()?)?);
     let (ring, heard) = bounded(64);
     let (cuts, _untold) = bounded(64);
-    let (one, _unheard) = wires::bind(&a, a.member(IncarnationId(1))).ok()?;
-    let (two, sockets) = wires::bind(&b, b.member(IncarnationId(2))).ok()?;
+    let (one, _unheard) = peer_transport::bind(&a, a.member(IncarnationId(1))).ok()?;
+    let (two, sockets) = peer_transport::bind(&b, b.member(IncarnationId(2))).ok()?;
     let to = Daemon("store-2".into());
-    one.learn(&to, &b.listen);
+    one.set_peer_address(&to, &b.listen);
     // One thread for each end, as in two daemons.
     let (words, written) = tokio::sync::mpsc::unbounded_channel::<Vec<u8>>();
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
     let (lines, peer) = (one.clone(), to.clone());
     let sends = std::thread::spawn(move || {
         network()?.block_on(async move {
-            let (mut lines, mut written) = (wires::Lines::new(lines, cuts), written);
+            let (mut lines, mut written) = (peer_transport::PeerConnections::new(lines, cuts), written);
             while let Some(frame) = written.recv().await {
                 lines.write(peer.clone(), frame);
             }
@@ -58,7 +58,7 @@
     });
     let hears = std::thread::spawn(move || {
         network()?.block_on(async move {
-            tokio::select! { _ = wires::serve(two, sockets, ring) => {}, _ = ended => {} }
+            tokio::select! { _ = peer_transport::serve(two, sockets, ring) => {}, _ = ended => {} }
             Some(())
         })
     });
@@ -66,7 +66,7 @@
     let body = Bytes::from(vec![7u8; len]);
     let say = || {
         let all = vec![(MessageId("event".into()), body.clone())];
-        let frame = one.frame(&to, PeerMessage::Bodies { partition: place.clone(), epoch: Epoch::ZERO, entries: all });
+        let frame = one.encode_frame(&to, PeerMessage::Bodies { partition: place.clone(), epoch: Epoch::ZERO, entries: all });
         let sent = frame.is_some_and(|f| words.send(f).is_ok());
         sent && heard.recv_timeout(Duration::from_secs(2)).is_ok()
     };
--- a/crates/shell/src/packing.rs
+++ b/crates/shell/src/compression.rs
@@ -13,9 +13,9 @@
 const PACKED: u8 = 0x01;
 /// A line is packed once it has carried so many bytes: most lines carry few,
 /// and each that is packed holds some 300 kB at both ends together.
-pub const PACKED_AFTER: usize = 8 << 10;
+pub const COMPRESS_AFTER_BYTES: usize = 8 << 10;
 /// What is larger is written as it is: a packed frame must fit a frame.
-pub const PIECE_MAX: usize = 256 << 10;
+pub const MAX_CHUNK_BYTES: usize = 256 << 10;
 /// So far back, as a power of two, the stream looks for what it wrote before.
 const WINDOW_LOG: u32 = 15;
 /// The fastest of zstd's usual levels.
@@ -24,17 +24,17 @@
 const STEP: usize = 16 << 10;
 
 /// The writing end of one line's stream.
-pub struct Packer {
+pub struct FrameCompressor {
     encoder: Encoder<'static>,
 }
 
-impl Packer {
-    pub fn new() -> Result<Packer> {
+impl FrameCompressor {
+    pub fn new() -> Result<FrameCompressor> {
         let mut encoder = Encoder::new(LEVEL)?;
         encoder.set_parameter(CParameter::WindowLog(WINDOW_LOG))?;
         encoder.set_parameter(CParameter::ContentSizeFlag(false))?;
         encoder.set_parameter(CParameter::ChecksumFlag(false))?;
-        Ok(Packer { encoder })
+        Ok(FrameCompressor { encoder })
     }
 
     /// Some whole frames, as the codec reads them, as one packed frame. An
@@ -56,11 +56,11 @@
 
 /// The reading end of one line's stream.
 #[derive(Default)]
-pub struct Unpacker {
+pub struct FrameDecompressor {
     decoder: Option<Decoder<'static>>,
 }
 
-impl Unpacker {
+impl FrameDecompressor {
     /// The frames that a frame stands for: itself, or those packed in it.
     pub fn unpack(&mut self, frame: BytesMut) -> Result<Vec<Bytes>> {
         if frame.first() != Some(&PACKED) {
--- a/crates/shell/src/front.rs
+++ b/crates/shell/src/front.rs
@@ -1,7 +1,7 @@
 //! HTTP in, in whatever words an `Inbound` speaks.
-use crate::patience::{Patience, Stand};
-use crate::pool::tune;
+use crate::pool::set_socket_options;
 use crate::prelude::*;
+use crate::timeout_stream::{ConnectionState, TimeoutStream};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::server::conn::http1;
@@ -99,18 +99,18 @@
 }
 
 async fn connection(stream: TcpStream, seat: Seat) {
-    tune(&stream);
+    set_socket_options(&stream);
     let intake = seat.0.intake();
     let mut end = seat.0.leaving.end.subscribe();
-    let stand = Arc::new(Stand::default());
+    let stand = Arc::new(ConnectionState::default());
     let stream =
-        Patience::new(stream, stand.clone(), Duration::from_millis(intake.head_ms), Duration::from_millis(intake.idle_ms));
+        TimeoutStream::new(stream, stand.clone(), Duration::from_millis(intake.head_ms), Duration::from_millis(intake.idle_ms));
     let serve = service_fn(|request| {
         let (door, stand) = (seat.0.clone(), stand.clone());
         async move {
             stand.set_busy(true);
             let (mut response, end) = door.take(request).await;
-            stand.write_before(end);
+            stand.set_write_deadline(end);
             stand.set_busy(false);
             if door.leaving.told() {
                 close(&mut response);
@@ -139,7 +139,7 @@
 }
 
 impl Door {
-    fn intake(&self) -> Intake {
+    fn intake(&self) -> InboundLimits {
         self.settings.borrow().intake
     }
     /// The response to a request, and when it may not be given any more.
--- a/crates/shell/src/limits.rs
+++ b/crates/shell/src/limits.rs
@@ -15,7 +15,7 @@
 /// What is taken from callers at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Intake {
+pub struct InboundLimits {
     pub head_bytes: usize,
     pub body_bytes: u64,
     /// For a request's head to come in whole.
@@ -28,9 +28,16 @@
     pub answer_ms: u64,
 }
 
-impl Default for Intake {
-    fn default() -> Intake {
-        Intake { head_bytes: 16 << 10, body_bytes: 1 << 20, head_ms: 3000, idle_ms: 15_000, connections: 1024, answer_ms: 2500 }
+impl Default for InboundLimits {
+    fn default() -> InboundLimits {
+        InboundLimits {
+            head_bytes: 16 << 10,
+            body_bytes: 1 << 20,
+            head_ms: 3000,
+            idle_ms: 15_000,
+            connections: 1024,
+            answer_ms: 2500,
+        }
     }
 }
 
@@ -46,7 +53,7 @@
 
 impl Limits {
     /// Sets the bounds that `given`, the startup file, does not set itself.
-    pub fn bound(&self, startup: &mut Startup, given: &Value) {
+    pub fn fill_unset_bounds(&self, startup: &mut Startup, given: &Value) {
         let part = |mb: u64, of_1000: u64| (mb << 20) / 1000 * of_1000;
         let free = |table: &str, key: &str| given.get(table).and_then(|t| t.get(key)).is_none();
         let set = |key: &str, to: &mut u64, from: u64| {
--- a/crates/shell/src/network.rs
+++ b/crates/shell/src/network.rs
@@ -1,10 +1,10 @@
 //! The one thread of all that goes over the network, in and out.
-use crate::calls::Caller;
+use crate::calls::HttpClient;
 use crate::errors::{HttpSnafu, ListenSnafu, ThreadSnafu};
 use crate::front::Leaving;
+use crate::peer_transport::{PeerConnections, PeerTransport};
 use crate::prelude::*;
 use crate::settings::Settings;
-use crate::wires::{Lines, Wires};
 use crossbeam_channel::Sender;
 use snafu::ResultExt;
 use std::thread::JoinHandle;
@@ -17,36 +17,36 @@
 const LAST_WORDS: Duration = Duration::from_millis(500);
 
 /// Something to be sent, or an answer to be given.
-pub enum Post {
+pub enum NetworkEffect {
     Frame(Daemon, Vec<u8>),
-    Tell(RequestId, ApiResponse),
+    Respond(RequestId, ApiResponse),
     Call(CallId, Call),
 }
 
 /// What one step of the core posts, and when it decided so.
-pub struct Posts {
-    pub decided: Time,
-    pub posts: Vec<Post>,
+pub struct StepEffects {
+    pub decided_at: Time,
+    pub effects: Vec<NetworkEffect>,
 }
 
 /// The network as the core's thread sees it.
 pub struct Network {
-    pub wires: Arc<Wires>,
-    posts: mpsc::Sender<Posts>,
+    pub peer_transport: Arc<PeerTransport>,
+    posts: mpsc::Sender<StepEffects>,
     thread: JoinHandle<()>,
 }
 
 impl Network {
     /// Hands over what one step posts, at the price of one wake-up; `Err` is
     /// what the network can't take.
-    pub fn post(&self, posts: Posts) -> Result<(), Posts> {
-        if posts.posts.is_empty() {
+    pub fn queue_step_effects(&self, posts: StepEffects) -> Result<(), StepEffects> {
+        if posts.effects.is_empty() {
             return Ok(());
         }
         self.posts.try_send(posts).map_err(|e| e.into_inner())
     }
     /// Sends what waits, answers what is under way, and closes.
-    pub fn end(self) {
+    pub fn shut_down(self) {
         drop(self.posts);
         // A network that failed has nothing left to say.
         let _ = self.thread.join();
@@ -55,10 +55,10 @@
 
 /// What the network's thread serves.
 struct Served {
-    wires: Arc<Wires>,
-    sockets: crate::wires::Sockets,
+    wires: Arc<PeerTransport>,
+    sockets: crate::peer_transport::Sockets,
     fronts: Vec<(std::net::TcpListener, Front)>,
-    caller: Caller,
+    caller: HttpClient,
     desk: Arc<Desk>,
     settings: Settings,
     ring: Sender<Event>,
@@ -74,13 +74,13 @@
     desk: Arc<Desk>,
     ring: Sender<Event>,
 ) -> Result<Network, ShellError> {
-    let (wires, sockets) = crate::wires::bind(startup, me).context(ListenSnafu { addr: &startup.listen })?;
+    let (wires, sockets) = crate::peer_transport::bind(startup, me).context(ListenSnafu { addr: &startup.listen })?;
     let mut fronts = Vec::new();
     for front in &speech.fronts {
         let at = crate::front::bind(front).context(ListenSnafu { addr: &front.addr })?;
         fronts.push((at, front.clone()));
     }
-    let caller = Caller::new(speech.outbound, ring.clone());
+    let caller = HttpClient::new(speech.outbound, ring.clone());
     let served = Served {
         wires: wires.clone(),
         sockets,
@@ -111,11 +111,11 @@
     if let Err(why) = said {
         return HttpSnafu { addr: &startup.http, why }.fail();
     }
-    Ok(Network { wires, posts, thread })
+    Ok(Network { peer_transport: wires, posts, thread })
 }
 
 impl Served {
-    async fn run(self, mut todo: mpsc::Receiver<Posts>) {
+    async fn run(self, mut todo: mpsc::Receiver<StepEffects>) {
         tokio::spawn(watch_signals(self.ring.clone(), self.leaving.clone()));
         let (taken, settings) = watch::channel(self.settings.now().clone());
         tokio::spawn(crate::settings::keep(self.settings, taken));
@@ -123,28 +123,28 @@
         for (at, front) in self.fronts {
             tokio::spawn(crate::front::serve(at, front, self.desk.clone(), settings.clone(), self.leaving.clone()));
         }
-        tokio::spawn(crate::wires::serve(self.wires.clone(), self.sockets, self.ring.clone()));
-        let mut lines = Lines::new(self.wires, self.ring);
-        while let Some(Posts { decided, posts }) = todo.recv().await {
+        tokio::spawn(crate::peer_transport::serve(self.wires.clone(), self.sockets, self.ring.clone()));
+        let mut lines = PeerConnections::new(self.wires, self.ring);
+        while let Some(StepEffects { decided_at: decided, effects: posts }) = todo.recv().await {
             for p in posts {
                 match p {
-                    Post::Frame(to, frame) => lines.write(to, frame),
-                    Post::Tell(id, v) => self.desk.tell_decided(id, v, decided),
-                    Post::Call(id, call) => self.caller.begin(id, call, decided),
+                    NetworkEffect::Frame(to, frame) => lines.write(to, frame),
+                    NetworkEffect::Respond(id, v) => self.desk.tell_decided(id, v, decided),
+                    NetworkEffect::Call(id, call) => self.caller.start_call(id, call, decided),
                 }
             }
         }
-        let last = async { tokio::join!(lines.end(), self.leaving.end()) };
+        let last = async { tokio::join!(lines.close(), self.leaving.end()) };
         let _ = tokio::time::timeout(LAST_WORDS, last).await;
     }
 }
 
 /// Takes over where seeds are, each time the settings change.
-async fn learn(wires: Arc<Wires>, mut settings: watch::Receiver<Startup>) {
+async fn learn(wires: Arc<PeerTransport>, mut settings: watch::Receiver<Startup>) {
     while settings.changed().await.is_ok() {
         let seeds = settings.borrow_and_update().seeds().unwrap_or_default();
         for s in seeds {
-            wires.learn(&s.id, &s.addr);
+            wires.set_peer_address(&s.id, &s.addr);
         }
     }
 }
@@ -155,5 +155,5 @@
     tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
     log::info!("{} {}", LogEvent::Stopping.number(), LogEvent::Stopping.description());
     leaving.tell();
-    crate::wires::push(&ring, Event::Shutdown).await;
+    crate::peer_transport::push_event(&ring, Event::Shutdown).await;
 }
--- a/crates/shell/src/own.rs
+++ b/crates/shell/src/own_protocol.rs
@@ -2,9 +2,9 @@
 use crate::prelude::*;
 
 /// Calls as their path and headers say.
-pub struct Own;
+pub struct OwnProtocol;
 
-impl Outbound for Own {
+impl Outbound for OwnProtocol {
     fn request(&self, call: &Call) -> Result<Request, CallResult> {
         let method = if call.is_post { http::Method::POST } else { http::Method::GET };
         let mut r = http::Request::builder().method(method).uri(&call.path).header("host", &call.addr);
--- a/crates/shell/src/pool.rs
+++ b/crates/shell/src/pool.rs
@@ -1,5 +1,5 @@
 //! Connections to those called, kept a while for the next call.
-use crate::guard::{Exchange, GuardedStream};
+use crate::guarded_stream::{Exchange, GuardedStream};
 use crate::prelude::*;
 use bytes::BytesMut;
 use http_body_util::{BodyExt, Full};
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 /// How long to try to reach somebody.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Bytes that stay unconfirmed so long mean that the other machine is gone.
 pub const SILENCE: Duration = Duration::from_millis(3000);
 /// The usual time after which the other side closes a quiet connection.
@@ -74,7 +74,7 @@
 impl Connection {
     pub async fn open(addr: SocketAddr) -> std::io::Result<Connection> {
         let stream = TcpStream::connect(addr).await?;
-        tune(&stream);
+        set_socket_options(&stream);
         let exchange = Arc::new(Exchange::default());
         let stream = GuardedStream::new(stream, exchange.clone());
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
@@ -181,7 +181,7 @@
 }
 
 /// No waiting for more bytes, no waiting for a silent machine.
-pub fn tune(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, SILENCE.as_millis() as u32);
 }
--- a/crates/shell/src/speech.rs
+++ b/crates/shell/src/speech.rs
@@ -76,7 +76,7 @@
 impl Speech {
     /// The product's own words only.
     pub fn own() -> Speech {
-        Speech { fronts: Vec::new(), outbound: Arc::new(Own) }
+        Speech { fronts: Vec::new(), outbound: Arc::new(OwnProtocol) }
     }
 }
 
--- a/crates/shell/src/startup.rs
+++ b/crates/shell/src/startup.rs
@@ -93,7 +93,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limits: Option<Limits>,
     #[serde(default, skip_serializing_if = "usual")]
-    pub intake: Intake,
+    pub intake: InboundLimits,
     /// Calls in any second that a worker bears right after its start, beyond
     /// its service's cold rate; delivery only.
     #[serde(default = "cold_slack", skip_serializing_if = "is_usual_cold_slack")]
@@ -294,7 +294,7 @@
         let mut startup: Startup = serde_json::from_str(text).context(FaultySnafu { path })?;
         startup.path = path.to_path_buf();
         if let Some(limits) = startup.limits {
-            limits.bound(&mut startup, &given);
+            limits.fill_unset_bounds(&mut startup, &given);
         }
         Ok(startup)
     }
--- a/crates/shell/src/patience.rs
+++ b/crates/shell/src/timeout_stream.rs
@@ -12,7 +12,7 @@
 
 /// Where a connection is, as the one who answers its requests knows.
 #[derive(Default)]
-pub struct Stand {
+pub struct ConnectionState {
     /// A request's head is in; its body or its answer is under way.
     busy: AtomicBool,
     /// When the answers that wait to be written may not be given any more, by
@@ -20,12 +20,12 @@
     end: AtomicU64,
 }
 
-impl Stand {
+impl ConnectionState {
     pub fn set_busy(&self, on: bool) {
         self.busy.store(on, Ordering::Relaxed);
     }
     /// The next answer may be written only before `end`.
-    pub fn write_before(&self, end: Option<Time>) {
+    pub fn set_write_deadline(&self, end: Option<Time>) {
         let Some(end) = end else { return };
         let before = self.end.load(Ordering::Relaxed);
         let soonest = if before == 0 { end.0 } else { before.min(end.0) };
@@ -60,19 +60,19 @@
     Busy,
 }
 
-pub struct Patience<S> {
+pub struct TimeoutStream<S> {
     stream: S,
-    stand: Arc<Stand>,
+    stand: Arc<ConnectionState>,
     head: Duration,
     idle: Duration,
     waiting: Waiting,
     end: Pin<Box<Sleep>>,
 }
 
-impl<S> Patience<S> {
-    pub fn new(stream: S, stand: Arc<Stand>, head: Duration, idle: Duration) -> Patience<S> {
+impl<S> TimeoutStream<S> {
+    pub fn new(stream: S, stand: Arc<ConnectionState>, head: Duration, idle: Duration) -> TimeoutStream<S> {
         let end = Box::pin(sleep_until(Instant::now() + idle));
-        Patience { stream, stand, head, idle, waiting: Waiting::Quiet, end }
+        TimeoutStream { stream, stand, head, idle, waiting: Waiting::Quiet, end }
     }
     fn wait(&mut self, waiting: Waiting, span: Duration) {
         self.waiting = waiting;
@@ -80,7 +80,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Patience<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for TimeoutStream<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         let busy = me.stand.busy();
@@ -104,7 +104,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Patience<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for TimeoutStream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let me = self.get_mut();
         me.stand.check()?;
--- a/crates/shell/tests/answers.rs
+++ b/crates/shell/tests/answers.rs
@@ -1,8 +1,8 @@
 //! Answers to callers: each to its own request, and none that is not true any
 //! more. Over real sockets, with the test as the core.
 use dw_shell::front::{self, Leaving};
-use dw_shell::patience::{Patience, Stand};
 use dw_shell::prelude::*;
+use dw_shell::timeout_stream::{ConnectionState, TimeoutStream};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -179,11 +179,11 @@
 #[tokio::test]
 async fn an_answer_whose_end_passed_on_its_way_to_the_socket_is_not_written() {
     let (ours, mut theirs) = tokio::io::duplex(64);
-    let stand = Arc::new(Stand::default());
-    let mut stream = Patience::new(ours, stand.clone(), LONG, LONG);
-    stand.write_before(Some(now() + Span::secs(20)));
+    let stand = Arc::new(ConnectionState::default());
+    let mut stream = TimeoutStream::new(ours, stand.clone(), LONG, LONG);
+    stand.set_write_deadline(Some(now() + Span::secs(20)));
     stream.write_all(b"in time").await.unwrap();
-    stand.write_before(Some(now() + Span::millis(1)));
+    stand.set_write_deadline(Some(now() + Span::millis(1)));
     // Frozen between the decision and the write.
     std::thread::sleep(Duration::from_millis(20));
     assert_eq!(stream.write_all(b"too late").await.unwrap_err().kind(), std::io::ErrorKind::TimedOut);
--- a/crates/shell/tests/calls.rs
+++ b/crates/shell/tests/calls.rs
@@ -1,5 +1,5 @@
 //! Outward calls against servers that misbehave.
-use dw_shell::calls::make;
+use dw_shell::calls::make_call;
 use dw_shell::pool::Pool;
 use dw_shell::prelude::*;
 use std::io::{Read, Write};
@@ -68,7 +68,7 @@
 const LONG: Span = Span(20_000_000);
 
 async fn go(pool: &Arc<Pool>, addr: SocketAddr) -> CallResult {
-    make(pool, &Own, call(addr, LONG)).await
+    make_call(pool, &OwnProtocol, call(addr, LONG)).await
 }
 
 fn ok(r: &CallResult) -> bool {
@@ -92,7 +92,7 @@
 async fn what_is_no_address_is_not_called() {
     let mut c = call(([127, 0, 0, 1], 1).into(), LONG);
     c.addr = "nowhere".into();
-    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::NotSent));
+    assert_eq!(make_call(&Arc::default(), &OwnProtocol, c).await, CallResult::Failed(SendState::NotSent));
 }
 
 #[tokio::test]
@@ -105,14 +105,14 @@
 async fn an_answer_cut_short_is_a_doubt() {
     let s = serve(|_, m| (m == 0).then(|| "HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nhalf".to_string()));
     let c = call(s.addr, Span::millis(100));
-    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::MaybeSent));
+    assert_eq!(make_call(&Arc::default(), &OwnProtocol, c).await, CallResult::Failed(SendState::MaybeSent));
 }
 
 #[tokio::test]
 async fn the_limit_ends_a_call_and_its_socket() {
     let s = serve(|_, _| Some(String::new()));
     let c = call(s.addr, Span::millis(50));
-    assert_eq!(make(&Arc::default(), &Own, c).await, CallResult::Failed(SendState::MaybeSent));
+    assert_eq!(make_call(&Arc::default(), &OwnProtocol, c).await, CallResult::Failed(SendState::MaybeSent));
     ended(s).await;
 }
 
@@ -167,10 +167,10 @@
 
 impl Outbound for Wary {
     fn request(&self, call: &Call) -> Result<Request, CallResult> {
-        Own.request(call)
+        OwnProtocol.request(call)
     }
     fn reply(&self, call: &Call, response: Response) -> Meant {
-        Meant { reuse: false, ..Own.reply(call, response) }
+        Meant { reuse: false, ..OwnProtocol.reply(call, response) }
     }
 }
 
@@ -179,7 +179,7 @@
     let s = serve(|_, m| (m == 0).then(|| OK.to_string()));
     let pool = Arc::default();
     for _ in 0..2 {
-        assert!(ok(&make(&pool, &Wary, call(s.addr, LONG)).await));
+        assert!(ok(&make_call(&pool, &Wary, call(s.addr, LONG)).await));
     }
     ended(s).await;
 }
@@ -188,7 +188,7 @@
 async fn a_head_that_can_not_be_written_is_not_sent() {
     let mut c = call(([127, 0, 0, 1], 1).into(), LONG);
     c.headers.push(("x", "a\nb".into()));
-    assert!(matches!(make(&Arc::default(), &Own, c).await, CallResult::Answered { code: 400, .. }));
+    assert!(matches!(make_call(&Arc::default(), &OwnProtocol, c).await, CallResult::Answered { code: 400, .. }));
 }
 
 /// A run that succeeded is not in doubt for the size of its answer.
--- a/crates/shell/tests/front.rs
+++ b/crates/shell/tests/front.rs
@@ -32,7 +32,7 @@
     leaving: Leaving,
 }
 
-fn room(intake: Intake, answer: Duration) -> Room {
+fn room(intake: InboundLimits, answer: Duration) -> Room {
     let (ring, events) = crossbeam_channel::bounded(16);
     let desk = Arc::new(Desk::new(ring, 16, AskLimits { callers: answer, operators: answer }));
     let f = Front { addr: "127.0.0.1:0".into(), inbound: Arc::new(Count), body_max: 1000 };
@@ -80,7 +80,7 @@
 
 #[tokio::test]
 async fn a_connection_carries_several_requests_of_either_form() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     room.content();
     let said = room
         .all(
@@ -94,7 +94,7 @@
 
 #[tokio::test]
 async fn bodies_too_large_get_413_and_the_connection_ends() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     room.content();
     let long = format!("POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 1001\r\n\r\n{}", "x".repeat(1001));
     let chunked = format!("POST /a HTTP/1.1\r\nhost: h\r\ntransfer-encoding: chunked\r\n\r\n3e9\r\n{}\r\n", "x".repeat(1001));
@@ -106,7 +106,7 @@
 
 #[tokio::test]
 async fn heads_too_large_or_unreadable_are_refused() {
-    let room = room(Intake { head_bytes: 8192, ..Intake::default() }, LONG);
+    let room = room(InboundLimits { head_bytes: 8192, ..InboundLimits::default() }, LONG);
     let large = format!("GET /a HTTP/1.1\r\nhost: h\r\nx: {}\r\n\r\n", "x".repeat(20_000));
     let said = room.all(&large).await;
     assert!(said.is_empty() || said.starts_with("HTTP/1.1 431"), "{said}");
@@ -116,7 +116,7 @@
 
 #[tokio::test]
 async fn without_a_verdict_in_time_the_answer_is_504() {
-    let room = room(Intake::default(), Duration::from_millis(20));
+    let room = room(InboundLimits::default(), Duration::from_millis(20));
     let said = room.all("GET /a HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n").await;
     assert!(said.starts_with("HTTP/1.1 504"), "{said}");
     assert_eq!(room.desk.waiting(), 0);
@@ -124,7 +124,7 @@
 
 #[tokio::test]
 async fn a_client_that_goes_takes_its_ask_with_it() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     let mut s = room.dial().await;
     s.write_all(b"GET /a HTTP/1.1\r\nhost: h\r\n\r\n").await.unwrap();
     let events = room.events.clone();
@@ -141,7 +141,7 @@
 
 #[tokio::test]
 async fn a_half_sent_request_is_no_ask() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     for half in ["POST /a HTTP/1.1\r\nhost: h\r\ncontent-len", "POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 5\r\n\r\nab"] {
         let mut s = room.dial().await;
         s.write_all(half.as_bytes()).await.unwrap();
@@ -153,7 +153,7 @@
 
 #[tokio::test]
 async fn while_leaving_answers_close_their_connections() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     room.content();
     room.leaving.tell();
     let said = room.all("GET /a HTTP/1.1\r\nhost: h\r\n\r\n").await;
@@ -162,7 +162,7 @@
 
 #[tokio::test]
 async fn at_the_end_what_is_under_way_is_answered_and_the_quiet_are_closed() {
-    let room = room(Intake::default(), LONG);
+    let room = room(InboundLimits::default(), LONG);
     let mut quiet = room.dial().await;
     quiet.write_all(b"GET /away HTTP/1.1\r\nhost: h\r\n\r\n").await.unwrap();
     let mut some = [0; 16];
@@ -183,7 +183,7 @@
 
 #[tokio::test]
 async fn connections_beyond_the_bound_are_closed_unread() {
-    let room = room(Intake { connections: 1, ..Intake::default() }, LONG);
+    let room = room(InboundLimits { connections: 1, ..InboundLimits::default() }, LONG);
     room.content();
     let mut first = room.dial().await;
     first.write_all(b"GET /away HTTP/1.1\r\nhost: h\r\n\r\n").await.unwrap();
--- a/crates/shell/tests/late.rs
+++ b/crates/shell/tests/late.rs
@@ -1,7 +1,7 @@
 //! Connections on which something comes late, and calls that come late
 //! themselves, against real sockets. The runtime has one thread, so a blocked
 //! test is a frozen process: time goes on and nothing is noticed.
-use dw_shell::calls::{make, Caller};
+use dw_shell::calls::{make_call, HttpClient};
 use dw_shell::pool::Pool;
 use dw_shell::prelude::*;
 use std::io::{Read, Write};
@@ -97,7 +97,7 @@
 }
 
 async fn text(pool: &Arc<Pool>, addr: SocketAddr) -> String {
-    match make(pool, &Own, call(addr, LONG)).await {
+    match make_call(pool, &OwnProtocol, call(addr, LONG)).await {
         CallResult::Answered { body, .. } => String::from_utf8_lossy(&body).into_owned(),
         other => format!("{other:?}"),
     }
@@ -126,7 +126,7 @@
 #[tokio::test]
 async fn a_reset_after_the_last_byte_is_a_doubt_and_one_sending() {
     let server = serve(|_| Then::Reset);
-    let reply = make(&Arc::default(), &Own, call(server.addr, LONG)).await;
+    let reply = make_call(&Arc::default(), &OwnProtocol, call(server.addr, LONG)).await;
     assert_eq!(reply, CallResult::Failed(SendState::MaybeSent));
     assert_eq!(server.requests.load(Ordering::SeqCst), 1);
 }
@@ -135,7 +135,7 @@
 async fn a_call_whose_end_passes_while_it_connects_is_not_sent() {
     let server = serve(|_| Then::Stay);
     let (addr, pool) = (server.addr, Arc::default());
-    let calling = tokio::spawn(async move { make(&pool, &Own, call(addr, Span::millis(100))).await });
+    let calling = tokio::spawn(async move { make_call(&pool, &OwnProtocol, call(addr, Span::millis(100))).await });
     // It begins to connect; then the process is frozen past the end.
     tokio::task::yield_now().await;
     std::thread::sleep(FREEZE);
@@ -148,8 +148,8 @@
 async fn a_call_that_was_decided_long_ago_is_not_sent() {
     let server = serve(|_| Then::Stay);
     let (ring, events) = crossbeam_channel::unbounded();
-    let caller = Caller::new(Arc::new(Own), ring);
-    caller.begin(CallId(1), call(server.addr, Span::millis(100)), now());
+    let caller = HttpClient::new(Arc::new(OwnProtocol), ring);
+    caller.start_call(CallId(1), call(server.addr, Span::millis(100)), now());
     // The task has not run yet when the process is frozen.
     std::thread::sleep(FREEZE);
     tokio::time::sleep(FREEZE).await;
@@ -162,10 +162,10 @@
 
 impl Outbound for Alone {
     fn request(&self, call: &Call) -> Result<Request, CallResult> {
-        Own.request(call)
+        OwnProtocol.request(call)
     }
     fn reply(&self, call: &Call, response: Response) -> Meant {
-        Own.reply(call, response)
+        OwnProtocol.reply(call, response)
     }
     fn may_share(&self, _: &Call) -> bool {
         false
@@ -178,7 +178,7 @@
     let pool = Arc::default();
     assert_eq!(text(&pool, server.addr).await, "answer 1");
     for _ in 0..2 {
-        let reply = make(&pool, &Alone, call(server.addr, LONG)).await;
+        let reply = make_call(&pool, &Alone, call(server.addr, LONG)).await;
         assert!(matches!(reply, CallResult::Answered { code: 200, .. }), "{reply:?}");
     }
     assert_eq!(server.connections.load(Ordering::SeqCst), 3);
@@ -190,8 +190,8 @@
     let server = serve(|_| Then::Stay);
     let (ring, events) = crossbeam_channel::bounded(1);
     ring.send(Event::Tick).unwrap();
-    let caller = Caller::new(Arc::new(Own), ring);
-    caller.begin(CallId(1), call(server.addr, LONG), now());
+    let caller = HttpClient::new(Arc::new(OwnProtocol), ring);
+    caller.start_call(CallId(1), call(server.addr, LONG), now());
     tokio::time::sleep(FREEZE).await;
     assert_eq!(events.try_recv(), Ok(Event::Tick));
     let end = tokio::task::spawn_blocking(move || events.recv_timeout(FREEZE * 10)).await.unwrap();
--- a/crates/shell/tests/packing.rs
+++ b/crates/shell/tests/packing.rs
@@ -1,8 +1,8 @@
-//! Lines whose frames are packed.
+//! PeerConnections whose frames are packed.
 use bytes::{BufMut, Bytes, BytesMut};
-use dw_shell::packing::{Packer, Unpacker, PACKED_AFTER, PIECE_MAX};
+use dw_shell::compression::{FrameCompressor, FrameDecompressor, COMPRESS_AFTER_BYTES, MAX_CHUNK_BYTES};
+use dw_shell::peer_transport::{bind, PeerConnections, PeerTransport};
 use dw_shell::prelude::*;
-use dw_shell::wires::{bind, Lines, Wires};
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::time::timeout;
@@ -39,9 +39,9 @@
 
 #[test]
 fn frames_come_out_as_they_went_in() {
-    let (mut packer, mut unpacker) = (Packer::new().unwrap(), Unpacker::default());
+    let (mut packer, mut unpacker) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
     for round in 0..200u64 {
-        let sizes = [0, 8, 900, 4_000, if round % 40 == 0 { PIECE_MAX / 2 } else { 16 }];
+        let sizes = [0, 8, 900, 4_000, if round % 40 == 0 { MAX_CHUNK_BYTES / 2 } else { 16 }];
         let frames: Vec<Vec<u8>> = sizes.iter().take(1 + round as usize % 5).map(|size| frame(round, *size)).collect();
         let mut packed = packer.pack(&coded(&frames)).unwrap();
         let piece = decoded(&mut packed).unwrap();
@@ -53,7 +53,7 @@
 
 #[test]
 fn what_an_earlier_frame_said_is_not_written_again() {
-    let mut packer = Packer::new().unwrap();
+    let mut packer = FrameCompressor::new().unwrap();
     let mut last = 0;
     for n in 0..20 {
         last = packer.pack(&coded(&[frame(n, 16)])).unwrap().len();
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_frame_that_is_not_packed_is_handed_on_as_it_is() {
-    let (mut packer, mut unpacker) = (Packer::new().unwrap(), Unpacker::default());
+    let (mut packer, mut unpacker) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
     for n in 0..5 {
         let plain = frame(n, 64);
         assert_eq!(unpacker.unpack(BytesMut::from(&plain[..])).unwrap(), [Bytes::from(plain.clone())]);
@@ -74,21 +74,21 @@
 
 #[test]
 fn what_is_no_stream_or_ends_within_a_frame_is_an_error() {
-    let mut unpacker = Unpacker::default();
+    let mut unpacker = FrameDecompressor::default();
     assert!(unpacker.unpack(BytesMut::from(&[1, 2, 3, 4, 5, 6, 7, 8][..])).is_err());
     let mut short = coded(&[frame(1, 64)]);
     short.truncate(40);
-    let mut packed = Packer::new().unwrap().pack(&short).unwrap();
-    assert!(Unpacker::default().unpack(decoded(&mut packed).unwrap()).is_err());
+    let mut packed = FrameCompressor::new().unwrap().pack(&short).unwrap();
+    assert!(FrameDecompressor::default().unpack(decoded(&mut packed).unwrap()).is_err());
 }
 
 /// More than a frame may hold is not unpacked, however small it came.
 #[test]
 fn a_piece_that_holds_too_much_is_an_error() {
     let huge = coded(&[vec![0; 2 * MAX_FRAME_BYTES]]);
-    let mut packed = Packer::new().unwrap().pack(&huge).unwrap();
+    let mut packed = FrameCompressor::new().unwrap().pack(&huge).unwrap();
     assert!(packed.len() < MAX_FRAME_BYTES);
-    assert!(Unpacker::default().unpack(decoded(&mut packed).unwrap()).is_err());
+    assert!(FrameDecompressor::default().unpack(decoded(&mut packed).unwrap()).is_err());
 }
 
 /// The bytes that a line to a peer carries for `frames` like frames, and
@@ -102,13 +102,13 @@
     let (wires, sockets) = bind(&own, own.member(IncarnationId(1))).unwrap();
     let own_address = sockets.address().unwrap();
     let (ring, heard) = crossbeam_channel::bounded(64);
-    let serving = tokio::spawn(dw_shell::wires::serve(wires.clone(), sockets, ring.clone()));
+    let serving = tokio::spawn(dw_shell::peer_transport::serve(wires.clone(), sockets, ring.clone()));
     let peer = Daemon("store-2".into());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     tell(&wires, &own_address, (&peer, zone), &address, reads_packed, &heard).await;
-    let mut lines = Lines::new(wires.clone(), ring);
-    let (mut bytes, mut read, mut unpacker) = (0, 0, Unpacker::default());
+    let mut lines = PeerConnections::new(wires.clone(), ring);
+    let (mut bytes, mut read, mut unpacker) = (0, 0, FrameDecompressor::default());
     let mut stream = None;
     let (mut buffer, mut codec) = (BytesMut::new(), codec());
     for n in 0..frames {
@@ -133,14 +133,14 @@
 
 /// The peer says something, and with it whether it reads packed frames.
 async fn tell(
-    wires: &Arc<Wires>,
+    wires: &Arc<PeerTransport>,
     to: &str,
     (peer, zone): (&Daemon, &str),
     address: &str,
     reads_packed: bool,
     heard: &crossbeam_channel::Receiver<Event>,
 ) {
-    wires.learn(peer, address);
+    wires.set_peer_address(peer, address);
     let envelope = Envelope {
         protocol_version: PROTOCOL_VERSION,
         cluster: "c".into(),
@@ -163,7 +163,7 @@
 async fn a_busy_line_to_another_zone_is_packed() {
     const FRAMES: usize = 1_000;
     let plain = FRAMES * (4 + frame(0, 16).len());
-    assert!(plain > 4 * PACKED_AFTER);
+    assert!(plain > 4 * COMPRESS_AFTER_BYTES);
     let (bytes, read) = carried(true, "z2", FRAMES).await;
     assert_eq!(read, FRAMES);
     assert!(bytes < plain / 2, "{bytes} of {plain}");
@@ -175,6 +175,6 @@
 #[tokio::test]
 async fn a_line_that_carries_little_is_not_packed() {
     let size = 4 + frame(0, 16).len();
-    let few = PACKED_AFTER / size - 1;
+    let few = COMPRESS_AFTER_BYTES / size - 1;
     assert_eq!(carried(true, "z2", few).await, (few * size, few));
 }
--- a/crates/shell/tests/patience.rs
+++ b/crates/shell/tests/timeout_stream.rs
@@ -1,5 +1,5 @@
 //! Slow heads, slow bodies and quiet connections, on paused time.
-use dw_shell::patience::{Patience, Stand};
+use dw_shell::timeout_stream::{ConnectionState, TimeoutStream};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
@@ -8,14 +8,14 @@
 const HEAD: Duration = Duration::from_secs(3);
 const IDLE: Duration = Duration::from_secs(15);
 
-fn pair() -> (DuplexStream, Patience<DuplexStream>, Arc<Stand>) {
+fn pair() -> (DuplexStream, TimeoutStream<DuplexStream>, Arc<ConnectionState>) {
     let (theirs, ours) = tokio::io::duplex(64);
-    let stand = Arc::new(Stand::default());
-    (theirs, Patience::new(ours, stand.clone(), HEAD, IDLE), stand)
+    let stand = Arc::new(ConnectionState::default());
+    (theirs, TimeoutStream::new(ours, stand.clone(), HEAD, IDLE), stand)
 }
 
 /// Reads until an error, and tells after how long it came.
-async fn ends(ours: &mut Patience<DuplexStream>) -> Duration {
+async fn ends(ours: &mut TimeoutStream<DuplexStream>) -> Duration {
     let since = Instant::now();
     let mut buf = [0; 8];
     while ours.read(&mut buf).await.is_ok_and(|n| n > 0) {}
--- a/crates/shell/tests/wires.rs
+++ b/crates/shell/tests/wires.rs
@@ -1,6 +1,6 @@
-//! Lines to peers that go away and come back.
+//! PeerConnections to peers that go away and come back.
+use dw_shell::peer_transport::{bind, PeerConnections, PeerTransport};
 use dw_shell::prelude::*;
-use dw_shell::wires::{bind, Lines, Wires};
 use std::net::TcpListener;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -9,10 +9,10 @@
 
 const LONG: Duration = Duration::from_secs(20);
 
-/// Lines of one daemon, and the peer that they lead to.
+/// PeerConnections of one daemon, and the peer that they lead to.
 struct Pair {
-    wires: Arc<Wires>,
-    lines: Lines,
+    wires: Arc<PeerTransport>,
+    lines: PeerConnections,
     peer: Daemon,
     listener: tokio::net::TcpListener,
     heard: crossbeam_channel::Receiver<Event>,
@@ -26,10 +26,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let peer = Daemon("store-2".into());
-        wires.learn(&peer, &listener.local_addr().unwrap().to_string());
+        wires.set_peer_address(&peer, &listener.local_addr().unwrap().to_string());
         let listener = tokio::net::TcpListener::from_std(listener).unwrap();
         let (ring, heard) = crossbeam_channel::bounded(16);
-        Pair { lines: Lines::new(wires.clone(), ring), wires, peer, listener, heard }
+        Pair { lines: PeerConnections::new(wires.clone(), ring), wires, peer, listener, heard }
     }
 
     fn write(&mut self, n: u8) {
@@ -127,7 +127,7 @@
     for n in 0..64 {
         pair.lines.write(pair.peer.clone(), vec![n; 1 << 20]);
     }
-    assert_eq!(pair.wires.dropped.load(std::sync::atomic::Ordering::Relaxed), 48);
+    assert_eq!(pair.wires.dropped_frames.load(std::sync::atomic::Ordering::Relaxed), 48);
     let mut stream = pair.accept().await;
     let mut length = [0; 4];
     timeout(LONG, stream.read_exact(&mut length)).await.expect("nothing came").unwrap();
