--- a/crates/shell/src/errors.rs
+++ b/crates/shell/src/errors.rs
@@ -1,9 +1,9 @@
-//! Why a daemon can't start or run.
+//! Errors that keep a daemon from starting or running.
 use crate::startup::StartupError;
 use dw_disk::prelude::DiskError;
 use snafu::Snafu;
 
-/// Why a daemon can't start or run.
+/// An error that keeps a daemon from starting or running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ShellError {
@@ -11,10 +11,10 @@
     Startup { source: StartupError },
     #[snafu(display("{source}"), context(false))]
     Disk { source: DiskError },
-    #[snafu(display("'{addr}' can't be listened on: {source}; is another process there?"))]
+    #[snafu(display("cannot listen on '{addr}': {source}; is another process using it?"))]
     Listen { addr: String, source: std::io::Error },
-    #[snafu(display("'{addr}' can't serve HTTP: {why}; is another process there?"))]
+    #[snafu(display("cannot serve HTTP on '{addr}': {why}; is another process using it?"))]
     Http { addr: String, why: String },
-    #[snafu(display("a thread could not be started: {source}"))]
+    #[snafu(display("cannot start a thread: {source}"))]
     Thread { source: std::io::Error },
 }
--- a/crates/shell/src/own_protocol.rs
+++ b/crates/shell/src/own_protocol.rs
@@ -1,26 +1,26 @@
-//! The product's own words to workers, desks and lists.
+//! The project's own HTTP protocol for calls to workers, callbacks and worker lists.
 use crate::prelude::*;
 
-/// Calls as their path and headers say.
+/// Sends each call with exactly the path and headers that it carries.
 pub struct OwnProtocol;
 
 impl Outbound for OwnProtocol {
     fn request(&self, call: &Call) -> Result<Request, CallResult> {
         let method = if call.is_post { http::Method::POST } else { http::Method::GET };
-        let mut r = http::Request::builder().method(method).uri(&call.path).header("host", &call.addr);
-        for (k, v) in &call.headers {
-            let Ok(v) = http::HeaderValue::from_bytes(v.as_bytes()) else {
+        let mut builder = http::Request::builder().method(method).uri(&call.path).header("host", &call.addr);
+        for (name, value) in &call.headers {
+            let Ok(value) = http::HeaderValue::from_bytes(value.as_bytes()) else {
                 return Err(CallResult::Answered { code: 400, load: None, draining: false, body: Bytes::new() });
             };
-            r = r.header(*k, v);
+            builder = builder.header(*name, value);
         }
-        r.body(call.body.clone()).map_err(|_| CallResult::Failed(SendState::NotSent))
+        builder.body(call.body.clone()).map_err(|_| CallResult::Failed(SendState::NotSent))
     }
     fn reply(&self, _: &Call, response: Response) -> Meant {
         let (head, body) = response.into_parts();
-        let word = |n: &str| head.headers.get(n).and_then(|v| v.to_str().ok());
-        let load = word("dahliawick-load").and_then(|v| v.parse().ok());
-        let draining = word("dahliawick-draining") == Some("1");
+        let header = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
+        let load = header("dahliawick-load").and_then(|v| v.parse().ok());
+        let draining = header("dahliawick-draining") == Some("1");
         Meant { reply: CallResult::Answered { code: head.status.as_u16(), load, draining, body }, reuse: true }
     }
 }
--- a/crates/shell/src/pool.rs
+++ b/crates/shell/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to those called, kept a while for the next call.
+//! Pool of idle HTTP client connections, kept for the next call to the same address.
 use crate::guarded_stream::{Exchange, GuardedStream};
 use crate::prelude::*;
 use bytes::BytesMut;
@@ -15,251 +15,271 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long to try to reach somebody.
+/// How long an attempt to connect may take.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes that stay unconfirmed so long mean that the other machine is gone.
-pub const SILENCE: Duration = Duration::from_millis(3000);
-/// The usual time after which the other side closes a quiet connection.
-const QUIET: Span = Span::millis(4000);
-/// How much sooner than that it is closed here.
-const AHEAD: Span = Span::millis(500);
-/// No quiet connection is kept longer, whatever the other side would allow.
-const KEPT: Span = Span::secs(10);
-/// Quiet connections kept for one address.
-const PER_ADDRESS: usize = 64;
-/// So much of a response's body is kept; what is behind it is read and dropped,
-/// for the head tells how a run ended.
-const RESPONSE_MAX: usize = 1 << 20;
+/// A connection is dropped once sent bytes stay unacknowledged for this long: the other
+/// machine has probably failed.
+pub const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(3000);
+/// The time after which servers usually close an idle connection.
+const USUAL_SERVER_KEEP_ALIVE: Span = Span::millis(4000);
+/// How much earlier than the server this side closes an idle connection.
+const KEEP_ALIVE_MARGIN: Span = Span::millis(500);
+/// No idle connection is kept longer, even if the server would allow it.
+const MAX_IDLE_TIME: Span = Span::secs(10);
+/// Idle connections kept per address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
+/// How much of a response's body is kept. The rest is read and discarded, not treated
+/// as an error, because the head alone tells how a run ended.
+const MAX_RESPONSE_BODY_BYTES: usize = 1 << 20;
 
-type Out = http::Request<Full<Bytes>>;
+type OutgoingRequest = http::Request<Full<Bytes>>;
 
-/// Why there is no response.
+/// Why a request got no complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum RequestError {
     /// No byte of the request was written.
-    Unsent,
-    /// It may have been received.
-    Lost(Loss),
+    NotSent,
+    /// The server may have received the request.
+    ResponseLost(LostResponse),
 }
 
-/// How far an exchange came whose answer did not come in whole.
+/// How much of a response arrived that did not arrive completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loss {
-    /// Bytes of the answer that were read.
-    pub read: u64,
-    /// The status of the answer, if its head came in.
+pub struct LostResponse {
+    /// Bytes of the response that were read.
+    pub bytes_read: u64,
+    /// The status of the response, if its head arrived.
     pub status: Option<http::StatusCode>,
-    /// Why there were no more.
+    /// Why no more bytes were read.
     pub why: String,
 }
 
-/// One connection. Invariant: it moves only while somebody asks over it or
-/// looks whether it is fit, so a quiet one wakes nobody.
+/// One HTTP/1.1 client connection. Invariant: it is polled only while a request is in
+/// progress or its reusability is checked, so an idle connection wakes no task.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// Moves the bytes. Invariant: there, but for the moment in which another
-    /// takes its place.
+    /// Reads from and writes to the stream. Invariant: `Some`, except while
+    /// `read_next_response` replaces it.
     driver: Option<Driver<TokioIo<GuardedStream>, Full<Bytes>>>,
     exchange: Arc<Exchange>,
-    /// The head of the answer under way, once that was read.
-    head: Option<ResponseHead>,
-    /// Its driver has ended.
-    over: bool,
+    /// The head of the response in progress, once it was read.
+    response_head: Option<ResponseHead>,
+    /// The driver has finished.
+    is_driver_done: bool,
     /// No other request may be sent.
-    read_only: bool,
-    /// Closed here when it is quiet for so long.
-    quiet: Span,
+    is_read_only: bool,
+    /// This side closes the connection once it has been idle for this long.
+    idle_timeout: Span,
 }
 
 impl Connection {
+    /// Connects to `addr`.
     pub async fn open(addr: SocketAddr) -> std::io::Result<Connection> {
         let stream = TcpStream::connect(addr).await?;
         set_socket_options(&stream);
         let exchange = Arc::new(Exchange::default());
         let stream = GuardedStream::new(stream, exchange.clone());
         let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
-        Ok(Connection { sender, driver: Some(driver), exchange, head: None, over: false, read_only: false, quiet: QUIET - AHEAD })
+        Ok(Connection {
+            sender,
+            driver: Some(driver),
+            exchange,
+            response_head: None,
+            is_driver_done: false,
+            is_read_only: false,
+            idle_timeout: USUAL_SERVER_KEEP_ALIVE - KEEP_ALIVE_MARGIN,
+        })
     }
 
-    /// Sends a request, no byte of it at `end` or later, and reads the whole
-    /// response.
-    pub async fn ask(&mut self, request: Out, end: Time) -> Result<Response, Failure> {
-        self.exchange.begin(end);
-        let response = self.exchanged(request).await.map_err(|why| self.failure(why))?;
-        if let Some(said) = keep_alive(&response) {
-            self.quiet = (said - AHEAD).min(KEPT);
+    /// Sends a request, no byte of it at `deadline` or later, and reads the
+    /// complete response.
+    pub async fn send_request(&mut self, request: OutgoingRequest, deadline: Time) -> Result<Response, RequestError> {
+        self.exchange.begin(deadline);
+        let response = self.run_exchange(request).await.map_err(|why| self.request_error(why))?;
+        if let Some(keep_alive) = keep_alive_timeout(&response) {
+            self.idle_timeout = (keep_alive - KEEP_ALIVE_MARGIN).min(MAX_IDLE_TIME);
         }
         Ok(response)
     }
 
-    /// Reads the next response after one that was another request's. No other
-    /// request may be sent over the connection then; `request` is the one that
-    /// was sent, and is not sent again.
-    pub async fn read_on(&mut self, request: Out) -> Result<Response, Failure> {
-        self.read_only = true;
-        let Some(driver) = self.driver.take() else { return Err(self.failure("it ended behind another's answer".into())) };
+    /// Reads the next response after one that belonged to another request. From
+    /// then on no other request may be sent over the connection. `request` is the
+    /// one that was sent; it is not sent again.
+    pub async fn read_next_response(&mut self, request: OutgoingRequest) -> Result<Response, RequestError> {
+        self.is_read_only = true;
+        let Some(driver) = self.driver.take() else {
+            return Err(self.request_error("the connection ended after another request's response".into()));
+        };
         let parts = driver.into_parts();
         let stream = parts.io.into_inner().into_read_only(parts.read_buf);
-        let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(|e| self.failure(described(&e)))?;
-        (self.sender, self.driver, self.over) = (sender, Some(driver), false);
-        self.exchanged(request).await.map_err(|why| self.failure(why))
+        let (sender, driver) = handshake(TokioIo::new(stream)).await.map_err(|e| self.request_error(error_chain(&e)))?;
+        (self.sender, self.driver, self.is_driver_done) = (sender, Some(driver), false);
+        self.run_exchange(request).await.map_err(|why| self.request_error(why))
     }
 
-    fn failure(&self, why: String) -> Failure {
-        match self.written() {
-            true => Failure::Lost(self.loss(why)),
-            false => Failure::Unsent,
+    fn request_error(&self, why: String) -> RequestError {
+        match self.may_have_been_sent() {
+            true => RequestError::ResponseLost(self.lost_response(why)),
+            false => RequestError::NotSent,
         }
     }
 
-    /// Whether bytes of the last request may have been received.
-    pub fn written(&self) -> bool {
-        self.exchange.written()
+    /// Whether the server may have received bytes of the last request.
+    pub fn may_have_been_sent(&self) -> bool {
+        self.exchange.has_written()
     }
 
-    /// How far the last request came, and why no further.
-    pub fn loss(&self, why: String) -> Loss {
-        Loss { read: self.exchange.read(), status: self.head.as_ref().map(ResponseHead::status), why }
+    /// How much of the last request's response was read, and why no more.
+    pub fn lost_response(&self, why: String) -> LostResponse {
+        LostResponse {
+            bytes_read: self.exchange.bytes_read(),
+            status: self.response_head.as_ref().map(ResponseHead::status),
+            why,
+        }
     }
 
-    /// The head of an answer that did not come in whole.
-    pub fn take_head(&mut self) -> Option<ResponseHead> {
-        self.head.take()
+    /// Takes the head of a response that did not arrive completely, if its head did.
+    pub fn take_response_head(&mut self) -> Option<ResponseHead> {
+        self.response_head.take()
     }
 
-    /// The whole response, or why there is none.
-    async fn exchanged(&mut self, request: Out) -> Result<Response, String> {
-        self.head = None;
+    /// Sends `request` and returns the complete response, or why there is none.
+    async fn run_exchange(&mut self, request: OutgoingRequest) -> Result<Response, String> {
+        self.response_head = None;
         let sent = self.sender.try_send_request(request);
-        let read_head = &mut self.head;
-        let mut asked = pin!(async move {
-            let sent = sent.await.map_err(|e| described(e.error()))?;
-            let (head, body) = sent.into_parts();
-            *read_head = Some(ResponseHead::from_parts(head.clone(), ()));
-            let body = read_to_end(body).await.map_err(|e| described(&e))?;
+        let response_head = &mut self.response_head;
+        let mut exchange = pin!(async move {
+            let response = sent.await.map_err(|e| error_chain(e.error()))?;
+            let (head, body) = response.into_parts();
+            *response_head = Some(ResponseHead::from_parts(head.clone(), ()));
+            let body = read_body(body).await.map_err(|e| error_chain(&e))?;
             Ok(Response::from_parts(head, body))
         });
-        let (driver, over) = (&mut self.driver, &mut self.over);
+        let (driver, is_done) = (&mut self.driver, &mut self.is_driver_done);
         poll_fn(|cx| {
-            drive(driver, over, cx);
-            asked.as_mut().poll(cx)
+            poll_driver(driver, is_done, cx);
+            exchange.as_mut().poll(cx)
         })
         .await
     }
 
-    /// Whether another request may be sent; notices what came meanwhile.
-    fn fit(&mut self) -> bool {
+    /// Whether another request may be sent. Polls the connection first, so that bytes
+    /// or a close that arrived while it was idle are noticed.
+    fn is_reusable(&mut self) -> bool {
         let mut cx = Context::from_waker(Waker::noop());
-        drive(&mut self.driver, &mut self.over, &mut cx);
-        !self.over && !self.read_only && self.sender.is_ready()
+        poll_driver(&mut self.driver, &mut self.is_driver_done, &mut cx);
+        !self.is_driver_done && !self.is_read_only && self.sender.is_ready()
     }
 }
 
-/// Moves the bytes of a connection that has not ended. Its socket stays open
-/// then: bytes may wait that were read and not understood.
-fn drive(driver: &mut Option<Driver<TokioIo<GuardedStream>, Full<Bytes>>>, over: &mut bool, cx: &mut Context<'_>) {
-    let Some(driver) = driver.as_mut().filter(|_| !*over) else { return };
-    *over = driver.poll_without_shutdown(cx).is_ready();
+/// Polls the driver of a connection until it is done. The socket is not shut down
+/// then: the driver may still hold bytes that it read and did not parse.
+fn poll_driver(driver: &mut Option<Driver<TokioIo<GuardedStream>, Full<Bytes>>>, is_done: &mut bool, cx: &mut Context<'_>) {
+    let Some(driver) = driver.as_mut().filter(|_| !*is_done) else { return };
+    *is_done = driver.poll_without_shutdown(cx).is_ready();
 }
 
-/// The first bytes of a body that came to its end.
-async fn read_to_end(mut body: Incoming) -> hyper::Result<Bytes> {
+/// Reads a body to its end and returns its first `MAX_RESPONSE_BODY_BYTES` bytes.
+async fn read_body(mut body: Incoming) -> hyper::Result<Bytes> {
     let mut kept = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else { continue };
-        let room = RESPONSE_MAX - kept.len();
-        kept.extend_from_slice(&data[..data.len().min(room)]);
+        let capacity = MAX_RESPONSE_BODY_BYTES - kept.len();
+        kept.extend_from_slice(&data[..data.len().min(capacity)]);
     }
     Ok(kept.freeze())
 }
 
-/// An error with all its causes.
-fn described(error: &(dyn std::error::Error + 'static)) -> String {
+/// The text of an error with all its causes.
+fn error_chain(error: &(dyn std::error::Error + 'static)) -> String {
     let causes = std::iter::successors(Some(error), |e| e.source());
     let texts: Vec<String> = causes.map(|e| e.to_string()).collect();
     texts.join(": ")
 }
 
-/// No waiting for more bytes, no waiting for a silent machine.
+/// Sends small writes at once (no Nagle delay) and drops the connection if the other
+/// machine stops acknowledging data.
 pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, SILENCE.as_millis() as u32);
+    let _ = rustix::net::sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_DATA_TIMEOUT.as_millis() as u32);
 }
 
-/// How long the other side keeps a quiet connection, if it says so.
-fn keep_alive(response: &Response) -> Option<Span> {
-    let said = response.headers().get("keep-alive")?.to_str().ok()?;
-    let secs = said.split(',').find_map(|w| w.trim().strip_prefix("timeout="))?;
+/// How long the server keeps an idle connection, if its `keep-alive` header says so.
+fn keep_alive_timeout(response: &Response) -> Option<Span> {
+    let header = response.headers().get("keep-alive")?.to_str().ok()?;
+    let secs = header.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     secs.parse::<u32>().ok().map(|s| Span::secs(s.into()))
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Time,
+    expires_at: Time,
 }
 
-/// Quiet connections by address. Invariant: each is dropped when its time is
-/// over; `sweeping` is true while a task sees to that.
+/// Idle connections by address. Invariant: each is dropped after it expires;
+/// `is_sweeper_running` is true while a task does that.
 #[derive(Default)]
 pub struct Pool {
-    idle: Mutex<Shelf>,
+    idle: Mutex<IdleConnections>,
 }
 
 #[derive(Default)]
-struct Shelf {
-    connections: HashMap<SocketAddr, Vec<Idle>>,
-    sweeping: bool,
+struct IdleConnections {
+    by_address: HashMap<SocketAddr, Vec<IdleConnection>>,
+    is_sweeper_running: bool,
 }
 
 impl Pool {
-    /// A quiet connection that is fit for a request, the newest first.
+    /// Takes an idle connection that can be reused, the most recently added first.
     pub fn take(&self, addr: SocketAddr) -> Option<Connection> {
-        let mut shelf = self.idle.lock().ok()?;
-        let quiet = shelf.connections.get_mut(&addr)?;
+        let mut idle = self.idle.lock().ok()?;
+        let connections = idle.by_address.get_mut(&addr)?;
         let now = now();
-        while let Some(mut i) = quiet.pop() {
-            if i.until > now && i.connection.fit() {
-                return Some(i.connection);
+        while let Some(mut candidate) = connections.pop() {
+            if candidate.expires_at > now && candidate.connection.is_reusable() {
+                return Some(candidate.connection);
             }
         }
-        shelf.connections.remove(&addr);
+        idle.by_address.remove(&addr);
         None
     }
 
+    /// Keeps a connection for later calls, if it can be reused.
     pub fn put(self: &Arc<Pool>, addr: SocketAddr, mut connection: Connection) {
-        if !connection.fit() || connection.quiet == Span::ZERO {
+        if !connection.is_reusable() || connection.idle_timeout == Span::ZERO {
             return;
         }
-        let Ok(mut shelf) = self.idle.lock() else { return };
-        let quiet = shelf.connections.entry(addr).or_default();
-        if quiet.len() >= PER_ADDRESS {
+        let Ok(mut idle) = self.idle.lock() else { return };
+        let connections = idle.by_address.entry(addr).or_default();
+        if connections.len() >= MAX_IDLE_PER_ADDRESS {
             return;
         }
-        let until = now() + connection.quiet;
-        quiet.push(Idle { connection, until });
-        if !std::mem::replace(&mut shelf.sweeping, true) {
-            tokio::spawn(sweep(self.clone()));
+        let expires_at = now() + connection.idle_timeout;
+        connections.push(IdleConnection { connection, expires_at });
+        if !std::mem::replace(&mut idle.is_sweeper_running, true) {
+            tokio::spawn(drop_expired_periodically(self.clone()));
         }
     }
 
-    /// Drops what was quiet too long; when to look again.
-    fn drop_old(&self) -> Option<Time> {
-        let mut shelf = self.idle.lock().ok()?;
+    /// Drops expired connections and returns when the next one expires.
+    fn drop_expired(&self) -> Option<Time> {
+        let mut idle = self.idle.lock().ok()?;
         let now = now();
-        shelf.connections.retain(|_, quiet| {
-            quiet.retain(|i| i.until > now);
-            !quiet.is_empty()
+        idle.by_address.retain(|_, connections| {
+            connections.retain(|c| c.expires_at > now);
+            !connections.is_empty()
         });
-        let next = shelf.connections.values().flatten().map(|i| i.until).min();
-        shelf.sweeping = next.is_some();
+        let next = idle.by_address.values().flatten().map(|c| c.expires_at).min();
+        idle.is_sweeper_running = next.is_some();
         next
     }
 }
 
-async fn sweep(pool: Arc<Pool>) {
-    while let Some(next) = pool.drop_old() {
-        // A little later, so that one look serves several.
-        let wait = (next + AHEAD.percent(25)).remaining(now());
+/// Drops expired connections until none are left.
+async fn drop_expired_periodically(pool: Arc<Pool>) {
+    while let Some(next) = pool.drop_expired() {
+        // Waits a little longer, so that one pass drops several connections.
+        let wait = (next + KEEP_ALIVE_MARGIN.percent(25)).remaining(now());
         tokio::time::sleep(Duration::from_micros(wait.0)).await;
     }
 }
--- a/crates/shell/src/timeout_stream.rs
+++ b/crates/shell/src/timeout_stream.rs
@@ -1,5 +1,5 @@
-//! A caller's stream that runs out of patience: with a head that does not
-//! come in whole, and with a connection that stays quiet.
+//! A server-side stream with timeouts for the request head, for idle
+//! connections, and for the moment at which a response may last be written.
 use crate::prelude::*;
 use std::future::Future;
 use std::io;
@@ -10,94 +10,100 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Where a connection is, as the one who answers its requests knows.
+/// The state of a connection, shared between its request handler, which sets
+/// it, and its stream, which reads it.
 #[derive(Default)]
 pub struct ConnectionState {
-    /// A request's head is in; its body or its answer is under way.
+    /// The head of a request has arrived; its body or its response is in progress.
     busy: AtomicBool,
-    /// When the answers that wait to be written may not be given any more, by
-    /// the boot-time clock; 0 for never.
-    end: AtomicU64,
+    /// From this moment (boot-time clock, microseconds) on, the responses that wait to be
+    /// written may no longer be sent; 0 means no deadline.
+    write_deadline: AtomicU64,
 }
 
 impl ConnectionState {
+    /// Whether a request's body or response is in progress on the connection.
     pub fn set_busy(&self, on: bool) {
         self.busy.store(on, Ordering::Relaxed);
     }
-    /// The next answer may be written only before `end`.
-    pub fn set_write_deadline(&self, end: Option<Time>) {
-        let Some(end) = end else { return };
-        let before = self.end.load(Ordering::Relaxed);
-        let soonest = if before == 0 { end.0 } else { before.min(end.0) };
-        self.end.store(soonest, Ordering::Relaxed);
+    /// Allows the next response to be written only before `deadline`. Of several
+    /// deadlines the earliest holds.
+    pub fn set_write_deadline(&self, deadline: Option<Time>) {
+        let Some(deadline) = deadline else { return };
+        let previous = self.write_deadline.load(Ordering::Relaxed);
+        let earliest = if previous == 0 { deadline.0 } else { previous.min(deadline.0) };
+        self.write_deadline.store(earliest, Ordering::Relaxed);
     }
-    /// Whether what waits to be written comes too late.
-    fn check(&self) -> io::Result<()> {
-        let end = self.end.load(Ordering::Relaxed);
-        if end > 0 && now().0 >= end {
+    /// Fails once the write deadline has passed.
+    fn check_write_deadline(&self) -> io::Result<()> {
+        let deadline = self.write_deadline.load(Ordering::Relaxed);
+        if deadline > 0 && now().0 >= deadline {
             return Err(io::ErrorKind::TimedOut.into());
         }
         Ok(())
     }
-    /// An answer is on its way.
-    fn note(&self, written: &Poll<io::Result<usize>>) {
+    /// Clears the write deadline once bytes of a response were written.
+    fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(1..))) {
-            self.end.store(0, Ordering::Relaxed);
+            self.write_deadline.store(0, Ordering::Relaxed);
         }
     }
-    fn busy(&self) -> bool {
+    fn is_busy(&self) -> bool {
         self.busy.load(Ordering::Relaxed)
     }
 }
 
+/// What the stream waits for from its connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Waiting {
-    /// For the first byte of a request.
-    Quiet,
-    /// For the rest of its head.
-    Head,
-    /// For its body, or until it is answered.
-    Busy,
+enum WaitingFor {
+    /// The first byte of a request.
+    FirstByte,
+    /// The rest of the request's head.
+    RestOfHead,
+    /// The request's body, or the end of its response.
+    BodyOrResponse,
 }
 
+/// A stream whose reads fail with `TimedOut` when a request head takes too long
+/// or the connection stays idle, and whose writes fail after the write deadline.
 pub struct TimeoutStream<S> {
     stream: S,
-    stand: Arc<ConnectionState>,
-    head: Duration,
-    idle: Duration,
-    waiting: Waiting,
-    end: Pin<Box<Sleep>>,
+    state: Arc<ConnectionState>,
+    head_timeout: Duration,
+    idle_timeout: Duration,
+    waiting_for: WaitingFor,
+    read_timer: Pin<Box<Sleep>>,
 }
 
 impl<S> TimeoutStream<S> {
-    pub fn new(stream: S, stand: Arc<ConnectionState>, head: Duration, idle: Duration) -> TimeoutStream<S> {
-        let end = Box::pin(sleep_until(Instant::now() + idle));
-        TimeoutStream { stream, stand, head, idle, waiting: Waiting::Quiet, end }
+    pub fn new(stream: S, state: Arc<ConnectionState>, head_timeout: Duration, idle_timeout: Duration) -> TimeoutStream<S> {
+        let read_timer = Box::pin(sleep_until(Instant::now() + idle_timeout));
+        TimeoutStream { stream, state, head_timeout, idle_timeout, waiting_for: WaitingFor::FirstByte, read_timer }
     }
-    fn wait(&mut self, waiting: Waiting, span: Duration) {
-        self.waiting = waiting;
-        self.end.as_mut().reset(Instant::now() + span);
+    fn restart_timer(&mut self, waiting_for: WaitingFor, timeout: Duration) {
+        self.waiting_for = waiting_for;
+        self.read_timer.as_mut().reset(Instant::now() + timeout);
     }
 }
 
 impl<S: AsyncRead + Unpin> AsyncRead for TimeoutStream<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let me = self.get_mut();
-        let busy = me.stand.busy();
-        if busy != (me.waiting == Waiting::Busy) {
-            me.wait(if busy { Waiting::Busy } else { Waiting::Quiet }, me.idle);
+        let this = self.get_mut();
+        let is_busy = this.state.is_busy();
+        if is_busy != (this.waiting_for == WaitingFor::BodyOrResponse) {
+            this.restart_timer(if is_busy { WaitingFor::BodyOrResponse } else { WaitingFor::FirstByte }, this.idle_timeout);
         }
-        let had = buf.filled().len();
-        if let Poll::Ready(r) = Pin::new(&mut me.stream).poll_read(cx, buf) {
-            match me.waiting {
-                _ if buf.filled().len() == had => {}
-                Waiting::Quiet => me.wait(Waiting::Head, me.head),
-                Waiting::Head => {}
-                Waiting::Busy => me.wait(Waiting::Busy, me.idle),
+        let filled_before = buf.filled().len();
+        if let Poll::Ready(r) = Pin::new(&mut this.stream).poll_read(cx, buf) {
+            match this.waiting_for {
+                _ if buf.filled().len() == filled_before => {}
+                WaitingFor::FirstByte => this.restart_timer(WaitingFor::RestOfHead, this.head_timeout),
+                WaitingFor::RestOfHead => {}
+                WaitingFor::BodyOrResponse => this.restart_timer(WaitingFor::BodyOrResponse, this.idle_timeout),
             }
             return Poll::Ready(r);
         }
-        match me.end.as_mut().poll(cx) {
+        match this.read_timer.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -106,10 +112,10 @@
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for TimeoutStream<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let me = self.get_mut();
-        me.stand.check()?;
-        let written = Pin::new(&mut me.stream).poll_write(cx, buf);
-        me.stand.note(&written);
+        let this = self.get_mut();
+        this.state.check_write_deadline()?;
+        let written = Pin::new(&mut this.stream).poll_write(cx, buf);
+        this.state.record_write(&written);
         written
     }
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -118,11 +124,11 @@
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.get_mut().stream).poll_shutdown(cx)
     }
-    fn poll_write_vectored(self: Pin<&mut Self>, cx: &mut Context<'_>, all: &[io::IoSlice<'_>]) -> Poll<io::Result<usize>> {
-        let me = self.get_mut();
-        me.stand.check()?;
-        let written = Pin::new(&mut me.stream).poll_write_vectored(cx, all);
-        me.stand.note(&written);
+    fn poll_write_vectored(self: Pin<&mut Self>, cx: &mut Context<'_>, bufs: &[io::IoSlice<'_>]) -> Poll<io::Result<usize>> {
+        let this = self.get_mut();
+        this.state.check_write_deadline()?;
+        let written = Pin::new(&mut this.stream).poll_write_vectored(cx, bufs);
+        this.state.record_write(&written);
         written
     }
     fn is_write_vectored(&self) -> bool {
