--- a/crates/shell/src/compression.rs
+++ b/crates/shell/src/compression.rs
@@ -1,69 +1,74 @@
-//! Compression of what goes over one line to a peer. Frames of one line are
-//! much alike: what one of them said is not written again by the next.
+//! Compression of the frames that are sent over one connection to a peer. The frames
+//! of a connection are very similar, so they share one zstd stream, in which a frame
+//! refers to the contents of earlier ones.
 //!
-//! A packed frame is `PACKED` and a piece of the line's zstd stream; unpacked,
-//! the piece is a few whole frames as the codec reads them. Every other frame
-//! of a line begins as CBOR writes a map, and stands outside of the stream.
+//! A compressed frame is `COMPRESSED_MARKER` followed by a chunk of the connection's
+//! zstd stream. Decompressed, the chunk is one or more complete frames as the codec
+//! reads them. Every other frame of a connection begins with the first byte of a CBOR
+//! map and is not part of the stream.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use dw_wire::prelude::MAX_FRAME_BYTES;
 use std::io::{Error, ErrorKind, Result};
 use zstd::stream::raw::{CParameter, DParameter, Decoder, Encoder, InBuffer, Operation, OutBuffer};
 
-/// First byte of a packed frame. No CBOR map begins with it.
-const PACKED: u8 = 0x01;
-/// A line is packed once it has carried so many bytes: most lines carry few,
-/// and each that is packed holds some 300 kB at both ends together.
+/// First byte of a compressed frame. No CBOR map begins with it.
+const COMPRESSED_MARKER: u8 = 0x01;
+/// A connection is compressed once it has carried this many bytes. Most connections
+/// carry fewer, and compression takes some 300 kB of memory per connection, both ends
+/// together.
 pub const COMPRESS_AFTER_BYTES: usize = 8 << 10;
-/// What is larger is written as it is: a packed frame must fit a frame.
+/// Larger chunks are written uncompressed, because a compressed frame must not exceed
+/// the maximum frame size.
 pub const MAX_CHUNK_BYTES: usize = 256 << 10;
-/// So far back, as a power of two, the stream looks for what it wrote before.
+/// Size of the window in which zstd looks for repeated bytes, as a power of two.
 const WINDOW_LOG: u32 = 15;
-/// The fastest of zstd's usual levels.
-const LEVEL: i32 = 1;
-/// Room for the next bytes that come out.
-const STEP: usize = 16 << 10;
+/// The fastest of zstd's regular compression levels.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Space that is added to the output buffer for each call of the library.
+const OUTPUT_STEP_BYTES: usize = 16 << 10;
 
-/// The writing end of one line's stream.
+/// The sending end of one connection's zstd stream.
 pub struct FrameCompressor {
     encoder: Encoder<'static>,
 }
 
 impl FrameCompressor {
     pub fn new() -> Result<FrameCompressor> {
-        let mut encoder = Encoder::new(LEVEL)?;
+        let mut encoder = Encoder::new(COMPRESSION_LEVEL)?;
         encoder.set_parameter(CParameter::WindowLog(WINDOW_LOG))?;
         encoder.set_parameter(CParameter::ContentSizeFlag(false))?;
         encoder.set_parameter(CParameter::ChecksumFlag(false))?;
         Ok(FrameCompressor { encoder })
     }
 
-    /// Some whole frames, as the codec reads them, as one packed frame. An
-    /// error leaves the stream unfit: its line has to be opened anew.
-    pub fn pack(&mut self, frames: &[u8]) -> Result<BytesMut> {
-        let mut packed = BytesMut::with_capacity(frames.len() / 2 + 64);
-        packed.put_u32(0);
-        packed.put_u8(PACKED);
+    /// Compresses complete frames, as the codec reads them, to one compressed frame.
+    /// After an error the stream is unusable and its connection has to be reopened.
+    pub fn compress(&mut self, frames: &[u8]) -> Result<BytesMut> {
+        let mut compressed = BytesMut::with_capacity(frames.len() / 2 + 64);
+        compressed.put_u32(0);
+        compressed.put_u8(COMPRESSED_MARKER);
         let mut input = InBuffer::around(frames);
         while input.pos < frames.len() {
-            produce(&mut packed, |output| self.encoder.run(&mut input, output))?;
+            append_output(&mut compressed, |output| self.encoder.run(&mut input, output))?;
         }
-        while produce(&mut packed, |output| self.encoder.flush(output))? > 0 {}
-        let length = (packed.len() - 4) as u32;
-        packed[..4].copy_from_slice(&length.to_be_bytes());
-        Ok(packed)
+        while append_output(&mut compressed, |output| self.encoder.flush(output))? > 0 {}
+        let length = (compressed.len() - 4) as u32;
+        compressed[..4].copy_from_slice(&length.to_be_bytes());
+        Ok(compressed)
     }
 }
 
-/// The reading end of one line's stream.
+/// The receiving end of one connection's zstd stream.
 #[derive(Default)]
 pub struct FrameDecompressor {
     decoder: Option<Decoder<'static>>,
 }
 
 impl FrameDecompressor {
-    /// The frames that a frame stands for: itself, or those packed in it.
-    pub fn unpack(&mut self, frame: BytesMut) -> Result<Vec<Bytes>> {
-        if frame.first() != Some(&PACKED) {
+    /// Returns the frames in `frame`: those compressed in it, or `frame` itself if it is
+    /// not compressed.
+    pub fn decompress(&mut self, frame: BytesMut) -> Result<Vec<Bytes>> {
+        if frame.first() != Some(&COMPRESSED_MARKER) {
             return Ok(vec![frame.freeze()]);
         }
         if self.decoder.is_none() {
@@ -72,52 +77,52 @@
             self.decoder = Some(decoder);
         }
         let Some(decoder) = self.decoder.as_mut() else { return Ok(Vec::new()) };
-        let unpacked = unpack_piece(decoder, &frame[1..])?;
-        split(unpacked.freeze())
+        let decompressed = decompress_chunk(decoder, &frame[1..])?;
+        split_frames(decompressed.freeze())
     }
 }
 
-/// All that a piece of the stream holds.
-fn unpack_piece(decoder: &mut Decoder<'static>, piece: &[u8]) -> Result<BytesMut> {
-    let mut unpacked = BytesMut::new();
-    let mut input = InBuffer::around(piece);
+/// Decompresses one chunk of the stream.
+fn decompress_chunk(decoder: &mut Decoder<'static>, chunk: &[u8]) -> Result<BytesMut> {
+    let mut decompressed = BytesMut::new();
+    let mut input = InBuffer::around(chunk);
     loop {
-        let before = unpacked.len();
-        produce(&mut unpacked, |output| decoder.run(&mut input, output))?;
-        let filled = unpacked.len() - before == STEP;
-        if input.pos == piece.len() && !filled {
-            return Ok(unpacked);
+        let before = decompressed.len();
+        append_output(&mut decompressed, |output| decoder.run(&mut input, output))?;
+        let is_output_full = decompressed.len() - before == OUTPUT_STEP_BYTES;
+        if input.pos == chunk.len() && !is_output_full {
+            return Ok(decompressed);
         }
-        if unpacked.len() > MAX_FRAME_BYTES {
-            return Err(Error::new(ErrorKind::InvalidData, "a packed frame holds more than a frame may"));
+        if decompressed.len() > MAX_FRAME_BYTES {
+            return Err(Error::new(ErrorKind::InvalidData, "the contents of a compressed frame exceed the maximum frame size"));
         }
     }
 }
 
-/// Appends what one call of the library puts out; gives what it returned.
-fn produce(to: &mut BytesMut, call: impl FnOnce(&mut OutBuffer<'_, [u8]>) -> Result<usize>) -> Result<usize> {
-    let begin = to.len();
-    to.resize(begin + STEP, 0);
-    let mut output = OutBuffer::around(&mut to[begin..]);
+/// Appends the output of one call of the library to `buffer`; returns the call's result.
+fn append_output(buffer: &mut BytesMut, call: impl FnOnce(&mut OutBuffer<'_, [u8]>) -> Result<usize>) -> Result<usize> {
+    let begin = buffer.len();
+    buffer.resize(begin + OUTPUT_STEP_BYTES, 0);
+    let mut output = OutBuffer::around(&mut buffer[begin..]);
     let returned = call(&mut output);
     let written = output.pos();
-    to.truncate(begin + written);
+    buffer.truncate(begin + written);
     returned
 }
 
-/// Frames that stand one behind the other, each with its length before it.
-fn split(mut all: Bytes) -> Result<Vec<Bytes>> {
+/// Splits consecutive frames, each of which is preceded by its length.
+fn split_frames(mut remaining: Bytes) -> Result<Vec<Bytes>> {
     let mut frames = Vec::new();
-    while all.has_remaining() {
-        let length = all.try_get_u32().map_err(|_| cut_short())? as usize;
-        if length > all.len() {
-            return Err(cut_short());
+    while remaining.has_remaining() {
+        let length = remaining.try_get_u32().map_err(|_| truncated_frame())? as usize;
+        if length > remaining.len() {
+            return Err(truncated_frame());
         }
-        frames.push(all.split_to(length));
+        frames.push(remaining.split_to(length));
     }
     Ok(frames)
 }
 
-fn cut_short() -> Error {
-    Error::new(ErrorKind::InvalidData, "a packed frame ends within a frame")
+fn truncated_frame() -> Error {
+    Error::new(ErrorKind::InvalidData, "the contents of a compressed frame end in the middle of a frame")
 }
--- a/crates/shell/src/network.rs
+++ b/crates/shell/src/network.rs
@@ -1,4 +1,4 @@
-//! The one thread of all that goes over the network, in and out.
+//! The thread that does all network I/O: peers, incoming HTTP and outgoing calls.
 use crate::calls::HttpClient;
 use crate::errors::{HttpSnafu, ListenSnafu, ThreadSnafu};
 use crate::front::Leaving;
@@ -11,149 +11,153 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Steps of the core whose posts wait for the network.
-const STEPS: usize = 4096;
-/// How long the last words of a process may take.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// How many steps of the core may have effects that wait for the network thread.
+const MAX_QUEUED_STEPS: usize = 4096;
+/// How long a process may take on shutdown to send what is queued.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Something to be sent, or an answer to be given.
+/// Something that the core has the network thread send.
 pub enum NetworkEffect {
+    /// An encoded frame for a peer.
     Frame(Daemon, Vec<u8>),
+    /// The response to an HTTP request.
     Respond(RequestId, ApiResponse),
+    /// An outgoing HTTP call.
     Call(CallId, Call),
 }
 
-/// What one step of the core posts, and when it decided so.
+/// The network effects of one step of the core, and when the core decided on them.
 pub struct StepEffects {
     pub decided_at: Time,
     pub effects: Vec<NetworkEffect>,
 }
 
-/// The network as the core's thread sees it.
+/// The core thread's handle to the network thread.
 pub struct Network {
     pub peer_transport: Arc<PeerTransport>,
-    posts: mpsc::Sender<StepEffects>,
+    step_effects: mpsc::Sender<StepEffects>,
     thread: JoinHandle<()>,
 }
 
 impl Network {
-    /// Hands over what one step posts, at the price of one wake-up; `Err` is
-    /// what the network can't take.
-    pub fn queue_step_effects(&self, posts: StepEffects) -> Result<(), StepEffects> {
-        if posts.effects.is_empty() {
+    /// Queues the effects of one step, with one wake-up of the network thread for all of
+    /// them. `Err` returns the effects if the queue is full or the thread has ended.
+    pub fn queue_step_effects(&self, step: StepEffects) -> Result<(), StepEffects> {
+        if step.effects.is_empty() {
             return Ok(());
         }
-        self.posts.try_send(posts).map_err(|e| e.into_inner())
+        self.step_effects.try_send(step).map_err(|e| e.into_inner())
     }
-    /// Sends what waits, answers what is under way, and closes.
+    /// Sends what is queued, finishes the HTTP requests in progress, and ends the thread.
     pub fn shut_down(self) {
-        drop(self.posts);
-        // A network that failed has nothing left to say.
+        drop(self.step_effects);
+        // An error means that the thread panicked; nothing is left to send then.
         let _ = self.thread.join();
     }
 }
 
-/// What the network's thread serves.
-struct Served {
-    wires: Arc<PeerTransport>,
+/// What the network thread works with.
+struct NetworkThread {
+    peer_transport: Arc<PeerTransport>,
     sockets: crate::peer_transport::Sockets,
     fronts: Vec<(std::net::TcpListener, Front)>,
-    caller: HttpClient,
+    http_client: HttpClient,
     desk: Arc<Desk>,
     settings: Settings,
-    ring: Sender<Event>,
+    events: Sender<Event>,
     leaving: Leaving,
 }
 
-/// Binds every address, starts the thread, and waits until it serves.
+/// Binds every address, starts the network thread, and waits until it serves.
 pub fn start(
     startup: &Startup,
     me: Member,
     face: Face,
     speech: Speech,
     desk: Arc<Desk>,
-    ring: Sender<Event>,
+    events: Sender<Event>,
 ) -> Result<Network, ShellError> {
-    let (wires, sockets) = crate::peer_transport::bind(startup, me).context(ListenSnafu { addr: &startup.listen })?;
+    let (peer_transport, sockets) = crate::peer_transport::bind(startup, me).context(ListenSnafu { addr: &startup.listen })?;
     let mut fronts = Vec::new();
     for front in &speech.fronts {
-        let at = crate::front::bind(front).context(ListenSnafu { addr: &front.addr })?;
-        fronts.push((at, front.clone()));
+        let listener = crate::front::bind(front).context(ListenSnafu { addr: &front.addr })?;
+        fronts.push((listener, front.clone()));
     }
-    let caller = HttpClient::new(speech.outbound, ring.clone());
-    let served = Served {
-        wires: wires.clone(),
+    let http_client = HttpClient::new(speech.outbound, events.clone());
+    let network_thread = NetworkThread {
+        peer_transport: peer_transport.clone(),
         sockets,
         fronts,
-        caller,
+        http_client,
         desk,
         settings: Settings::new(startup.clone()),
-        ring,
+        events,
         leaving: Leaving::default(),
     };
-    let (posts, todo) = mpsc::channel(STEPS);
-    let (tx, rx) = std::sync::mpsc::sync_channel(1);
+    let (step_effects, queued_steps) = mpsc::channel(MAX_QUEUED_STEPS);
+    let (started_tx, started_rx) = std::sync::mpsc::sync_channel(1);
     let http = startup.http.clone();
     let serve = move || {
         let Ok(rt) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
         rt.block_on(async move {
-            let own = (!http.is_empty()).then(|| crate::desk::bind(face, &http, served.desk.clone())).transpose();
-            match own {
-                Err(why) => return drop(tx.send(Err(why))),
+            let own_server = (!http.is_empty()).then(|| crate::desk::bind(face, &http, network_thread.desk.clone())).transpose();
+            match own_server {
+                Err(why) => return drop(started_tx.send(Err(why))),
                 Ok(server) => drop(server.map(tokio::spawn)),
             }
-            let _ = tx.send(Ok(()));
-            served.run(todo).await;
+            let _ = started_tx.send(Ok(()));
+            network_thread.run(queued_steps).await;
         });
     };
     let thread = std::thread::Builder::new().name("network".into()).spawn(serve).context(ThreadSnafu)?;
-    let said = rx.recv().unwrap_or_else(|e| Err(e.to_string()));
-    if let Err(why) = said {
+    let started = started_rx.recv().unwrap_or_else(|e| Err(e.to_string()));
+    if let Err(why) = started {
         return HttpSnafu { addr: &startup.http, why }.fail();
     }
-    Ok(Network { peer_transport: wires, posts, thread })
+    Ok(Network { peer_transport, step_effects, thread })
 }
 
-impl Served {
-    async fn run(self, mut todo: mpsc::Receiver<StepEffects>) {
-        tokio::spawn(watch_signals(self.ring.clone(), self.leaving.clone()));
-        let (taken, settings) = watch::channel(self.settings.now().clone());
-        tokio::spawn(crate::settings::keep(self.settings, taken));
-        tokio::spawn(learn(self.wires.clone(), settings.clone()));
-        for (at, front) in self.fronts {
-            tokio::spawn(crate::front::serve(at, front, self.desk.clone(), settings.clone(), self.leaving.clone()));
+impl NetworkThread {
+    async fn run(self, mut queued_steps: mpsc::Receiver<StepEffects>) {
+        tokio::spawn(watch_signals(self.events.clone(), self.leaving.clone()));
+        let (settings_tx, settings) = watch::channel(self.settings.now().clone());
+        tokio::spawn(crate::settings::keep(self.settings, settings_tx));
+        tokio::spawn(update_seed_addresses(self.peer_transport.clone(), settings.clone()));
+        for (listener, front) in self.fronts {
+            tokio::spawn(crate::front::serve(listener, front, self.desk.clone(), settings.clone(), self.leaving.clone()));
         }
-        tokio::spawn(crate::peer_transport::serve(self.wires.clone(), self.sockets, self.ring.clone()));
-        let mut lines = PeerConnections::new(self.wires, self.ring);
-        while let Some(StepEffects { decided_at: decided, effects: posts }) = todo.recv().await {
-            for p in posts {
-                match p {
-                    NetworkEffect::Frame(to, frame) => lines.write(to, frame),
-                    NetworkEffect::Respond(id, v) => self.desk.tell_decided(id, v, decided),
-                    NetworkEffect::Call(id, call) => self.caller.start_call(id, call, decided),
+        tokio::spawn(crate::peer_transport::serve(self.peer_transport.clone(), self.sockets, self.events.clone()));
+        let mut connections = PeerConnections::new(self.peer_transport, self.events);
+        while let Some(StepEffects { decided_at, effects }) = queued_steps.recv().await {
+            for effect in effects {
+                match effect {
+                    NetworkEffect::Frame(to, frame) => connections.write(to, frame),
+                    NetworkEffect::Respond(id, response) => self.desk.tell_decided(id, response, decided_at),
+                    NetworkEffect::Call(id, call) => self.http_client.start_call(id, call, decided_at),
                 }
             }
         }
-        let last = async { tokio::join!(lines.close(), self.leaving.end()) };
-        let _ = tokio::time::timeout(LAST_WORDS, last).await;
+        let shutdown = async { tokio::join!(connections.close(), self.leaving.end()) };
+        let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, shutdown).await;
     }
 }
 
-/// Takes over where seeds are, each time the settings change.
-async fn learn(wires: Arc<PeerTransport>, mut settings: watch::Receiver<Startup>) {
+/// Updates the addresses of the seeds each time the settings change.
+async fn update_seed_addresses(peer_transport: Arc<PeerTransport>, mut settings: watch::Receiver<Startup>) {
     while settings.changed().await.is_ok() {
         let seeds = settings.borrow_and_update().seeds().unwrap_or_default();
-        for s in seeds {
-            wires.set_peer_address(&s.id, &s.addr);
+        for seed in seeds {
+            peer_transport.set_peer_address(&seed.id, &seed.addr);
         }
     }
 }
 
-async fn watch_signals(ring: Sender<Event>, leaving: Leaving) {
+/// Starts the shutdown at the first SIGTERM or SIGINT.
+async fn watch_signals(events: Sender<Event>, leaving: Leaving) {
     use tokio::signal::unix::{signal, SignalKind};
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) else { return };
     tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
     log::info!("{} {}", LogEvent::Stopping.number(), LogEvent::Stopping.description());
     leaving.tell();
-    crate::peer_transport::push_event(&ring, Event::Shutdown).await;
+    crate::peer_transport::push_event(&events, Event::Shutdown).await;
 }
--- a/crates/shell/tests/packing.rs
+++ b/crates/shell/tests/packing.rs
@@ -43,10 +43,10 @@
     for round in 0..200u64 {
         let sizes = [0, 8, 900, 4_000, if round % 40 == 0 { MAX_CHUNK_BYTES / 2 } else { 16 }];
         let frames: Vec<Vec<u8>> = sizes.iter().take(1 + round as usize % 5).map(|size| frame(round, *size)).collect();
-        let mut packed = packer.pack(&coded(&frames)).unwrap();
+        let mut packed = packer.compress(&coded(&frames)).unwrap();
         let piece = decoded(&mut packed).unwrap();
         assert!(packed.is_empty(), "one frame for the codec");
-        let out = unpacker.unpack(piece).unwrap();
+        let out = unpacker.decompress(piece).unwrap();
         assert_eq!(out, frames.iter().cloned().map(Bytes::from).collect::<Vec<_>>());
     }
 }
@@ -56,7 +56,7 @@
     let mut packer = FrameCompressor::new().unwrap();
     let mut last = 0;
     for n in 0..20 {
-        last = packer.pack(&coded(&[frame(n, 16)])).unwrap().len();
+        last = packer.compress(&coded(&[frame(n, 16)])).unwrap().len();
     }
     assert!(last < 50, "{last} bytes for a frame of which 16 bytes are new");
 }
@@ -66,29 +66,29 @@
     let (mut packer, mut unpacker) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
     for n in 0..5 {
         let plain = frame(n, 64);
-        assert_eq!(unpacker.unpack(BytesMut::from(&plain[..])).unwrap(), [Bytes::from(plain.clone())]);
-        let mut packed = packer.pack(&coded(std::slice::from_ref(&plain))).unwrap();
-        assert_eq!(unpacker.unpack(decoded(&mut packed).unwrap()).unwrap(), [Bytes::from(plain)]);
+        assert_eq!(unpacker.decompress(BytesMut::from(&plain[..])).unwrap(), [Bytes::from(plain.clone())]);
+        let mut packed = packer.compress(&coded(std::slice::from_ref(&plain))).unwrap();
+        assert_eq!(unpacker.decompress(decoded(&mut packed).unwrap()).unwrap(), [Bytes::from(plain)]);
     }
 }
 
 #[test]
 fn what_is_no_stream_or_ends_within_a_frame_is_an_error() {
     let mut unpacker = FrameDecompressor::default();
-    assert!(unpacker.unpack(BytesMut::from(&[1, 2, 3, 4, 5, 6, 7, 8][..])).is_err());
+    assert!(unpacker.decompress(BytesMut::from(&[1, 2, 3, 4, 5, 6, 7, 8][..])).is_err());
     let mut short = coded(&[frame(1, 64)]);
     short.truncate(40);
-    let mut packed = FrameCompressor::new().unwrap().pack(&short).unwrap();
-    assert!(FrameDecompressor::default().unpack(decoded(&mut packed).unwrap()).is_err());
+    let mut packed = FrameCompressor::new().unwrap().compress(&short).unwrap();
+    assert!(FrameDecompressor::default().decompress(decoded(&mut packed).unwrap()).is_err());
 }
 
 /// More than a frame may hold is not unpacked, however small it came.
 #[test]
 fn a_piece_that_holds_too_much_is_an_error() {
     let huge = coded(&[vec![0; 2 * MAX_FRAME_BYTES]]);
-    let mut packed = FrameCompressor::new().unwrap().pack(&huge).unwrap();
+    let mut packed = FrameCompressor::new().unwrap().compress(&huge).unwrap();
     assert!(packed.len() < MAX_FRAME_BYTES);
-    assert!(FrameDecompressor::default().unpack(decoded(&mut packed).unwrap()).is_err());
+    assert!(FrameDecompressor::default().decompress(decoded(&mut packed).unwrap()).is_err());
 }
 
 /// The bytes that a line to a peer carries for `frames` like frames, and
@@ -125,7 +125,7 @@
             assert!(count > 0, "the line ended");
             bytes += count;
         };
-        read += unpacker.unpack(piece).unwrap().len();
+        read += unpacker.decompress(piece).unwrap().len();
     }
     serving.abort();
     (bytes, read)
