--- a/crates/shell/tests/packing.rs
+++ b/crates/shell/tests/packing.rs
@@ -1,4 +1,4 @@
-//! PeerConnections whose frames are packed.
+//! Compression of the frames sent over connections to peers.
 use bytes::{BufMut, Bytes, BytesMut};
 use dw_shell::compression::{FrameCompressor, FrameDecompressor, COMPRESS_AFTER_BYTES, MAX_CHUNK_BYTES};
 use dw_shell::peer_transport::{bind, PeerConnections, PeerTransport};
@@ -8,139 +8,140 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Frames as the codec reads them.
-fn coded(frames: &[Vec<u8>]) -> BytesMut {
-    let mut all = BytesMut::new();
+/// Encodes frames in the codec's format.
+fn length_prefixed(frames: &[Vec<u8>]) -> BytesMut {
+    let mut bytes = BytesMut::new();
     for frame in frames {
-        all.put_u32(frame.len() as u32);
-        all.put_slice(frame);
+        bytes.put_u32(frame.len() as u32);
+        bytes.put_slice(frame);
     }
-    all
+    bytes
 }
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// What the codec of the other side hands on.
-fn decoded(bytes: &mut BytesMut) -> Option<BytesMut> {
+/// Decodes the next frame as the codec of the receiver does.
+fn decode_frame(bytes: &mut BytesMut) -> Option<BytesMut> {
     codec().decode(bytes).unwrap()
 }
 
-/// A frame that begins as CBOR does, with `noise` bytes that repeat nothing.
-fn frame(n: u64, noise: usize) -> Vec<u8> {
-    let words = (0..noise as u64 / 8).flat_map(|k| hash_of(&(n << 32 | k).to_le_bytes()).to_le_bytes());
-    let mut all = vec![0xa7];
-    all.extend(b"the names of the fields, who it is from and where that listens".iter().copied().chain(words));
-    all
+/// A frame that begins like a CBOR map, with `random_bytes` bytes that repeat nothing.
+fn frame(n: u64, random_bytes: usize) -> Vec<u8> {
+    let random = (0..random_bytes as u64 / 8).flat_map(|k| hash_of(&(n << 32 | k).to_le_bytes()).to_le_bytes());
+    let mut bytes = vec![0xa7];
+    bytes.extend(b"the names of the fields, who it is from and where that listens".iter().copied().chain(random));
+    bytes
 }
 
 #[test]
-fn frames_come_out_as_they_went_in() {
-    let (mut packer, mut unpacker) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
+fn decompressed_frames_equal_the_compressed_ones() {
+    let (mut compressor, mut decompressor) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
     for round in 0..200u64 {
         let sizes = [0, 8, 900, 4_000, if round % 40 == 0 { MAX_CHUNK_BYTES / 2 } else { 16 }];
         let frames: Vec<Vec<u8>> = sizes.iter().take(1 + round as usize % 5).map(|size| frame(round, *size)).collect();
-        let mut packed = packer.compress(&coded(&frames)).unwrap();
-        let piece = decoded(&mut packed).unwrap();
-        assert!(packed.is_empty(), "one frame for the codec");
-        let out = unpacker.decompress(piece).unwrap();
+        let mut compressed = compressor.compress(&length_prefixed(&frames)).unwrap();
+        let chunk = decode_frame(&mut compressed).unwrap();
+        assert!(compressed.is_empty(), "more than one frame for the codec");
+        let out = decompressor.decompress(chunk).unwrap();
         assert_eq!(out, frames.iter().cloned().map(Bytes::from).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn what_an_earlier_frame_said_is_not_written_again() {
-    let mut packer = FrameCompressor::new().unwrap();
-    let mut last = 0;
+fn the_contents_of_earlier_frames_are_not_sent_again() {
+    let mut compressor = FrameCompressor::new().unwrap();
+    let mut last_size = 0;
     for n in 0..20 {
-        last = packer.compress(&coded(&[frame(n, 16)])).unwrap().len();
+        last_size = compressor.compress(&length_prefixed(&[frame(n, 16)])).unwrap().len();
     }
-    assert!(last < 50, "{last} bytes for a frame of which 16 bytes are new");
+    assert!(last_size < 50, "{last_size} bytes for a frame of which 16 bytes are new");
 }
 
 #[test]
-fn a_frame_that_is_not_packed_is_handed_on_as_it_is() {
-    let (mut packer, mut unpacker) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
+fn a_frame_that_is_not_compressed_is_returned_unchanged() {
+    let (mut compressor, mut decompressor) = (FrameCompressor::new().unwrap(), FrameDecompressor::default());
     for n in 0..5 {
         let plain = frame(n, 64);
-        assert_eq!(unpacker.decompress(BytesMut::from(&plain[..])).unwrap(), [Bytes::from(plain.clone())]);
-        let mut packed = packer.compress(&coded(std::slice::from_ref(&plain))).unwrap();
-        assert_eq!(unpacker.decompress(decoded(&mut packed).unwrap()).unwrap(), [Bytes::from(plain)]);
+        assert_eq!(decompressor.decompress(BytesMut::from(&plain[..])).unwrap(), [Bytes::from(plain.clone())]);
+        let mut compressed = compressor.compress(&length_prefixed(std::slice::from_ref(&plain))).unwrap();
+        assert_eq!(decompressor.decompress(decode_frame(&mut compressed).unwrap()).unwrap(), [Bytes::from(plain)]);
     }
 }
 
 #[test]
-fn what_is_no_stream_or_ends_within_a_frame_is_an_error() {
-    let mut unpacker = FrameDecompressor::default();
-    assert!(unpacker.decompress(BytesMut::from(&[1, 2, 3, 4, 5, 6, 7, 8][..])).is_err());
-    let mut short = coded(&[frame(1, 64)]);
-    short.truncate(40);
-    let mut packed = FrameCompressor::new().unwrap().compress(&short).unwrap();
-    assert!(FrameDecompressor::default().decompress(decoded(&mut packed).unwrap()).is_err());
+fn an_invalid_stream_or_a_truncated_frame_is_an_error() {
+    let mut decompressor = FrameDecompressor::default();
+    assert!(decompressor.decompress(BytesMut::from(&[1, 2, 3, 4, 5, 6, 7, 8][..])).is_err());
+    let mut truncated = length_prefixed(&[frame(1, 64)]);
+    truncated.truncate(40);
+    let mut compressed = FrameCompressor::new().unwrap().compress(&truncated).unwrap();
+    assert!(FrameDecompressor::default().decompress(decode_frame(&mut compressed).unwrap()).is_err());
 }
 
-/// More than a frame may hold is not unpacked, however small it came.
+/// A chunk whose contents exceed the maximum frame size is rejected, however small it is
+/// when compressed.
 #[test]
-fn a_piece_that_holds_too_much_is_an_error() {
-    let huge = coded(&[vec![0; 2 * MAX_FRAME_BYTES]]);
-    let mut packed = FrameCompressor::new().unwrap().compress(&huge).unwrap();
-    assert!(packed.len() < MAX_FRAME_BYTES);
-    assert!(FrameDecompressor::default().decompress(decoded(&mut packed).unwrap()).is_err());
+fn a_chunk_that_decompresses_to_too_much_is_an_error() {
+    let too_large = length_prefixed(&[vec![0; 2 * MAX_FRAME_BYTES]]);
+    let mut compressed = FrameCompressor::new().unwrap().compress(&too_large).unwrap();
+    assert!(compressed.len() < MAX_FRAME_BYTES);
+    assert!(FrameDecompressor::default().decompress(decode_frame(&mut compressed).unwrap()).is_err());
 }
 
-/// The bytes that a line to a peer carries for `frames` like frames, and
-/// how many of those were read from it.
-async fn carried(reads_packed: bool, zone: &str, frames: usize) -> (usize, usize) {
+/// Sends `frames` similar frames over a connection to a peer. Returns the bytes that the
+/// connection carried and the number of frames that the peer read from it.
+async fn send_frames(accepts_compressed: bool, zone: &str, frames: usize) -> (usize, usize) {
     let startup = |id: &str| {
         let text = format!(r#"{{"cluster":"c","id":"{id}","zone":"z1","listen":"127.0.0.1:0"}}"#);
         Startup::parse(&text, "s".as_ref()).unwrap()
     };
     let own = startup("store-1");
-    let (wires, sockets) = bind(&own, own.member(IncarnationId(1))).unwrap();
+    let (transport, sockets) = bind(&own, own.member(IncarnationId(1))).unwrap();
     let own_address = sockets.address().unwrap();
-    let (ring, heard) = crossbeam_channel::bounded(64);
-    let serving = tokio::spawn(dw_shell::peer_transport::serve(wires.clone(), sockets, ring.clone()));
+    let (event_sender, events) = crossbeam_channel::bounded(64);
+    let serving = tokio::spawn(dw_shell::peer_transport::serve(transport.clone(), sockets, event_sender.clone()));
     let peer = Daemon("store-2".into());
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    tell(&wires, &own_address, (&peer, zone), &address, reads_packed, &heard).await;
-    let mut lines = PeerConnections::new(wires.clone(), ring);
-    let (mut bytes, mut read, mut unpacker) = (0, 0, FrameDecompressor::default());
+    announce_peer(&transport, &own_address, (&peer, zone), &address, accepts_compressed, &events).await;
+    let mut connections = PeerConnections::new(transport.clone(), event_sender);
+    let (mut bytes, mut read, mut decompressor) = (0, 0, FrameDecompressor::default());
     let mut stream = None;
     let (mut buffer, mut codec) = (BytesMut::new(), codec());
     for n in 0..frames {
-        lines.write(peer.clone(), frame(n as u64, 16));
+        connections.write(peer.clone(), frame(n as u64, 16));
         if stream.is_none() {
-            stream = Some(timeout(LONG, listener.accept()).await.unwrap().unwrap().0);
+            stream = Some(timeout(TEST_TIMEOUT, listener.accept()).await.unwrap().unwrap().0);
         }
         let Some(stream) = stream.as_mut() else { continue };
-        let piece = loop {
-            if let Some(piece) = codec.decode(&mut buffer).unwrap() {
-                break piece;
+        let chunk = loop {
+            if let Some(chunk) = codec.decode(&mut buffer).unwrap() {
+                break chunk;
             }
-            let count = timeout(LONG, tokio::io::AsyncReadExt::read_buf(stream, &mut buffer)).await.unwrap().unwrap();
-            assert!(count > 0, "the line ended");
+            let count = timeout(TEST_TIMEOUT, tokio::io::AsyncReadExt::read_buf(stream, &mut buffer)).await.unwrap().unwrap();
+            assert!(count > 0, "the connection ended");
             bytes += count;
         };
-        read += unpacker.decompress(piece).unwrap().len();
+        read += decompressor.decompress(chunk).unwrap().len();
     }
     serving.abort();
     (bytes, read)
 }
 
-/// The peer says something, and with it whether it reads packed frames.
-async fn tell(
-    wires: &Arc<PeerTransport>,
+/// Sends a message from the peer, which says whether it accepts compressed frames.
+async fn announce_peer(
+    transport: &Arc<PeerTransport>,
     to: &str,
     (peer, zone): (&Daemon, &str),
     address: &str,
-    reads_packed: bool,
-    heard: &crossbeam_channel::Receiver<Event>,
+    accepts_compressed: bool,
+    events: &crossbeam_channel::Receiver<Event>,
 ) {
-    wires.set_peer_address(peer, address);
+    transport.set_peer_address(peer, address);
     let envelope = Envelope {
         protocol_version: PROTOCOL_VERSION,
         cluster: "c".into(),
@@ -148,33 +149,33 @@
         addr: address.into(),
         incarnation: IncarnationId(1),
         to: "store-1".into(),
-        reads_packed,
+        reads_packed: accepts_compressed,
         zone: Some(Zone(zone.into())),
         msg: PeerMessage::NotPrimary { leader: None },
     };
-    let mut line = tokio::net::TcpStream::connect(to).await.unwrap();
-    tokio::io::AsyncWriteExt::write_all(&mut line, &coded(&[encode(&envelope)])).await.unwrap();
-    let heard = heard.clone();
-    let event = tokio::task::spawn_blocking(move || heard.recv_timeout(LONG)).await.unwrap().unwrap();
+    let mut stream = tokio::net::TcpStream::connect(to).await.unwrap();
+    tokio::io::AsyncWriteExt::write_all(&mut stream, &length_prefixed(&[encode(&envelope)])).await.unwrap();
+    let events = events.clone();
+    let event = tokio::task::spawn_blocking(move || events.recv_timeout(TEST_TIMEOUT)).await.unwrap().unwrap();
     assert!(matches!(event, Event::MessageReceived { .. }));
 }
 
 #[tokio::test]
-async fn a_busy_line_to_another_zone_is_packed() {
+async fn a_busy_connection_to_another_zone_is_compressed() {
     const FRAMES: usize = 1_000;
-    let plain = FRAMES * (4 + frame(0, 16).len());
-    assert!(plain > 4 * COMPRESS_AFTER_BYTES);
-    let (bytes, read) = carried(true, "z2", FRAMES).await;
+    let uncompressed = FRAMES * (4 + frame(0, 16).len());
+    assert!(uncompressed > 4 * COMPRESS_AFTER_BYTES);
+    let (bytes, read) = send_frames(true, "z2", FRAMES).await;
     assert_eq!(read, FRAMES);
-    assert!(bytes < plain / 2, "{bytes} of {plain}");
-    // Within the zone, and to a daemon of the version before, it is not.
-    assert_eq!(carried(true, "z1", FRAMES).await, (plain, FRAMES));
-    assert_eq!(carried(false, "z2", FRAMES).await, (plain, FRAMES));
+    assert!(bytes < uncompressed / 2, "{bytes} of {uncompressed}");
+    // Within the zone, and to a daemon of the previous version, frames are not compressed.
+    assert_eq!(send_frames(true, "z1", FRAMES).await, (uncompressed, FRAMES));
+    assert_eq!(send_frames(false, "z2", FRAMES).await, (uncompressed, FRAMES));
 }
 
 #[tokio::test]
-async fn a_line_that_carries_little_is_not_packed() {
+async fn a_connection_that_carries_little_is_not_compressed() {
     let size = 4 + frame(0, 16).len();
     let few = COMPRESS_AFTER_BYTES / size - 1;
-    assert_eq!(carried(true, "z2", few).await, (few * size, few));
+    assert_eq!(send_frames(true, "z2", few).await, (few * size, few));
 }
--- a/crates/shell/tests/wires.rs
+++ b/crates/shell/tests/wires.rs
@@ -1,4 +1,4 @@
-//! PeerConnections to peers that go away and come back.
+//! Connections to peers that close, stall or restart.
 use dw_shell::peer_transport::{bind, PeerConnections, PeerTransport};
 use dw_shell::prelude::*;
 use std::net::TcpListener;
@@ -7,95 +7,96 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// PeerConnections of one daemon, and the peer that they lead to.
-struct Pair {
-    wires: Arc<PeerTransport>,
-    lines: PeerConnections,
+/// A daemon's outgoing connections, and the listener of the peer to which they go.
+struct TestPair {
+    transport: Arc<PeerTransport>,
+    connections: PeerConnections,
     peer: Daemon,
     listener: tokio::net::TcpListener,
-    heard: crossbeam_channel::Receiver<Event>,
+    events: crossbeam_channel::Receiver<Event>,
 }
 
-impl Pair {
-    fn new() -> Pair {
+impl TestPair {
+    fn new() -> TestPair {
         let text = r#"{"cluster":"c","id":"store-1","zone":"z","listen":"127.0.0.1:0"}"#;
         let startup = Startup::parse(text, "s".as_ref()).unwrap();
-        let (wires, _sockets) = bind(&startup, startup.member(IncarnationId(1))).unwrap();
+        let (transport, _sockets) = bind(&startup, startup.member(IncarnationId(1))).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let peer = Daemon("store-2".into());
-        wires.set_peer_address(&peer, &listener.local_addr().unwrap().to_string());
+        transport.set_peer_address(&peer, &listener.local_addr().unwrap().to_string());
         let listener = tokio::net::TcpListener::from_std(listener).unwrap();
-        let (ring, heard) = crossbeam_channel::bounded(16);
-        Pair { lines: PeerConnections::new(wires.clone(), ring), wires, peer, listener, heard }
+        let (event_sender, events) = crossbeam_channel::bounded(16);
+        TestPair { connections: PeerConnections::new(transport.clone(), event_sender), transport, peer, listener, events }
     }
 
     fn write(&mut self, n: u8) {
-        self.lines.write(self.peer.clone(), vec![n; 4]);
+        self.connections.write(self.peer.clone(), vec![n; 4]);
     }
 
     async fn accept(&self) -> TcpStream {
-        timeout(LONG, self.listener.accept()).await.expect("no new line").unwrap().0
+        timeout(TEST_TIMEOUT, self.listener.accept()).await.expect("no new connection").unwrap().0
     }
 }
 
-/// Frame `n` comes over this line.
-async fn expect(stream: &mut TcpStream, n: u8) {
+/// Expects frame `n` over this connection.
+async fn expect_frame(stream: &mut TcpStream, n: u8) {
     let mut frame = [0; 8];
-    timeout(LONG, stream.read_exact(&mut frame)).await.expect("no frame").unwrap();
+    timeout(TEST_TIMEOUT, stream.read_exact(&mut frame)).await.expect("no frame").unwrap();
     assert_eq!(frame, [0, 0, 0, 4, n, n, n, n]);
 }
 
-/// Incident TWICE: the other end had gone during a cut, and what was written
-/// was lost for seconds. Here it stays open and nobody reads it any more.
+/// Guards against incident TWICE: the peer closed the connection while the network was
+/// interrupted, and frames written to it were lost for seconds. Here the old connection
+/// stays open and nobody reads from it any more.
 #[tokio::test]
-async fn a_line_that_lay_idle_is_opened_anew() {
-    let mut pair = Pair::new();
+async fn an_idle_connection_is_reopened() {
+    let mut pair = TestPair::new();
     pair.write(1);
     let mut first = pair.accept().await;
-    expect(&mut first, 1).await;
+    expect_frame(&mut first, 1).await;
     pair.write(2);
-    expect(&mut first, 2).await;
-    // The line's task comes back to waiting for frames.
+    expect_frame(&mut first, 2).await;
+    // Lets the connection's task return to waiting for frames.
     tokio::task::yield_now().await;
     tokio::time::pause();
     tokio::time::advance(Duration::from_secs(2)).await;
     tokio::time::resume();
     pair.write(3);
     let mut second = pair.accept().await;
-    expect(&mut second, 3).await;
+    expect_frame(&mut second, 3).await;
 }
 
 #[tokio::test]
-async fn the_first_frame_after_a_peer_s_restart_arrives() {
-    let mut pair = Pair::new();
-    let (peer, heard) = (pair.peer.clone(), pair.heard.clone());
+async fn the_first_frame_after_a_peer_restart_arrives() {
+    let mut pair = TestPair::new();
+    let (peer, events) = (pair.peer.clone(), pair.events.clone());
     for n in 0..3u8 {
         pair.write(n);
         let mut stream = pair.accept().await;
-        expect(&mut stream, n).await;
+        expect_frame(&mut stream, n).await;
         drop(stream);
-        // The close is seen once the runtime has looked at its sockets, and
-        // told without a frame to be written.
-        let told = tokio::task::spawn_blocking({
-            let heard = heard.clone();
-            move || heard.recv_timeout(LONG)
+        // The close is noticed once the runtime has polled its sockets, and is reported
+        // although no frame is to be written.
+        let event = tokio::task::spawn_blocking({
+            let events = events.clone();
+            move || events.recv_timeout(TEST_TIMEOUT)
         });
-        assert_eq!(told.await.unwrap(), Ok(Event::PeerDisconnected(peer.clone())));
+        assert_eq!(event.await.unwrap(), Ok(Event::PeerDisconnected(peer.clone())));
     }
 }
 
-const BIG: usize = 256 << 10;
+const LARGE_FRAME_BYTES: usize = 256 << 10;
 
-/// Reads one big frame in small pieces, as a busy peer does.
-async fn expect_big(stream: &mut TcpStream, n: u8) -> std::io::Result<()> {
+/// Expects one large frame and reads it slowly, in small pieces, as a busy peer does.
+async fn expect_large_frame(stream: &mut TcpStream, n: u8) -> std::io::Result<()> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
-    assert_eq!(u32::from_be_bytes(length) as usize, BIG);
-    let mut frame = vec![0; BIG];
-    for piece in frame.chunks_mut(BIG / 8) {
+    assert_eq!(u32::from_be_bytes(length) as usize, LARGE_FRAME_BYTES);
+    let mut frame = vec![0; LARGE_FRAME_BYTES];
+    for piece in frame.chunks_mut(LARGE_FRAME_BYTES / 8) {
         stream.read_exact(piece).await?;
         tokio::time::sleep(Duration::from_millis(6)).await;
     }
@@ -103,33 +104,36 @@
     Ok(())
 }
 
-/// Incident LOST: a line over which a whole copy went was broken each two
-/// seconds, as its frames never ceased; what was under way was lost each time,
-/// and the copy was never done.
+/// Guards against incident LOST: a connection that carried a complete copy was dropped
+/// every two seconds, because its frames never ceased. The frames in transit were lost
+/// each time, and the copy never completed.
 #[tokio::test]
-async fn a_line_that_moves_on_is_not_broken_however_much_is_to_be_written() {
+async fn a_connection_that_makes_progress_is_not_dropped_however_much_is_queued() {
     const FRAMES: u8 = 60;
-    let mut pair = Pair::new();
+    let mut pair = TestPair::new();
     for n in 0..FRAMES {
-        pair.lines.write(pair.peer.clone(), vec![n; BIG]);
+        pair.connections.write(pair.peer.clone(), vec![n; LARGE_FRAME_BYTES]);
     }
     let mut stream = pair.accept().await;
     for n in 0..FRAMES {
-        timeout(LONG, expect_big(&mut stream, n)).await.expect("nothing came").expect("the line was broken");
+        timeout(TEST_TIMEOUT, expect_large_frame(&mut stream, n))
+            .await
+            .expect("no frame in time")
+            .expect("the connection was dropped");
     }
 }
 
-/// What waits for a peer that reads nothing is bounded in bytes too: whole
-/// copies would fill the memory long before the count of frames does.
+/// The frames queued for a peer that reads nothing are bounded in bytes too: complete
+/// copies would fill the memory long before the limit on the number of frames is reached.
 #[tokio::test]
-async fn what_waits_for_a_line_is_bounded_in_bytes() {
-    let mut pair = Pair::new();
+async fn the_frames_queued_for_a_peer_are_bounded_in_bytes() {
+    let mut pair = TestPair::new();
     for n in 0..64 {
-        pair.lines.write(pair.peer.clone(), vec![n; 1 << 20]);
+        pair.connections.write(pair.peer.clone(), vec![n; 1 << 20]);
     }
-    assert_eq!(pair.wires.dropped_frames.load(std::sync::atomic::Ordering::Relaxed), 48);
+    assert_eq!(pair.transport.dropped_frames.load(std::sync::atomic::Ordering::Relaxed), 48);
     let mut stream = pair.accept().await;
     let mut length = [0; 4];
-    timeout(LONG, stream.read_exact(&mut length)).await.expect("nothing came").unwrap();
+    timeout(TEST_TIMEOUT, stream.read_exact(&mut length)).await.expect("no frame in time").unwrap();
     assert_eq!(u32::from_be_bytes(length), 1 << 20);
 }
