--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -14,7 +14,7 @@
 
 fn lines(c: &Config) -> String {
     let e = check(c).unwrap_err();
-    let all: Vec<String> = e.faults().iter().map(|f| format!("{}: {}; {}", f.path, f.wrong, f.remedy)).collect();
+    let all: Vec<String> = e.faults().iter().map(|f| format!("{}: {}; {}", f.path, f.problem, f.remedy)).collect();
     all.join("\n")
 }
 
@@ -23,7 +23,7 @@
     let c = whole(&[route("a", "lode17.example", "/"), route("b", "LODE17.example", "/vobo/"), route("c", "other", "/vobo/x")]);
     check(&c).unwrap();
     let r = compile(&c, Version::ZERO).routes;
-    let name = |h: &str, p: &str| r.matched(h, p).map(|x| x.name.clone());
+    let name = |h: &str, p: &str| r.find_match(h, p).map(|x| x.name.clone());
     assert_eq!(name("lode17.example", "/vobo/x"), Some("b".into()));
     assert_eq!(name("lode17.example:8080", "/vobo"), Some("a".into()));
     assert_eq!(name("other", "/vobo/"), None);
@@ -40,13 +40,13 @@
         route("r-e", "h", "/e/"),
     ]);
     c.routes[3].service = "nobody".into();
-    c.routes[3].attempt_ms = 0;
-    c.routes[4].attempt_ms = 600_001;
+    c.routes[3].attempt_timeout_ms = 0;
+    c.routes[4].attempt_timeout_ms = 600_001;
     c.routes[4].name = "x".repeat(129);
     c.services[0].address = "desk.example:1".into();
-    c.services[0].rate = f64::NAN;
-    c.services[0].cold_rate = -1.0;
-    c.spool = 65;
+    c.services[0].max_requests_per_second = f64::NAN;
+    c.services[0].cold_requests_per_second = -1.0;
+    c.spool_partitions = 65;
     let all = lines(&c).replace(&"x".repeat(129), "xxx");
     expect![[r#"
         services[0].address: 'desk.example:1' is not an address; write it as ip:port, with an IP number, or leave it out for listed workers
@@ -82,9 +82,9 @@
 
 #[test]
 fn a_config_or_patch_beyond_the_bound_is_not_read() {
-    let big = json!({"doc": "x".repeat(CONFIG_MAX)}).to_string();
+    let big = json!({"doc": "x".repeat(MAX_CONFIG_BYTES)}).to_string();
     for e in [dw_config::check::read(&big).unwrap_err(), patch(&Config::default(), &big).unwrap_err()] {
-        assert!(matches!(e, ConfigError::Large { .. }), "{e}");
+        assert!(matches!(e, ConfigError::TooLarge { .. }), "{e}");
         assert!(!e.faults()[0].remedy.is_empty());
     }
 }
@@ -96,12 +96,12 @@
         {"name": "b", "host": "h", "prefix": "/bb/", "service": "huvo11a", "attempt_ms": 9},
         {"name": "a", "remove": true}, {"name": "z", "remove": true}]});
     let next = patch(&c, &part.to_string()).unwrap();
-    let kept: Vec<(&str, &str, u32)> = next.routes.iter().map(|r| (r.name.as_str(), r.prefix.as_str(), r.attempts)).collect();
+    let kept: Vec<(&str, &str, u32)> = next.routes.iter().map(|r| (r.name.as_str(), r.prefix.as_str(), r.max_attempts)).collect();
     assert_eq!(kept, [("b", "/bb/", 0)]);
     let merged = patch(&c, r#"{"services": [{"name": "huvo11a", "slots": 9}]}"#).unwrap();
-    assert_eq!((merged.services[0].slots, merged.services[0].rate), (9, 39.0));
+    assert_eq!((merged.services[0].slots_per_worker, merged.services[0].max_requests_per_second), (9, 39.0));
     let replaced = patch(&c, r#"{"services": [{"name": "huvo11a", "slots": 9, "doc": "{}"}]}"#).unwrap();
-    assert_eq!((replaced.services[0].slots, replaced.services[0].rate), (9, 0.0));
+    assert_eq!((replaced.services[0].slots_per_worker, replaced.services[0].max_requests_per_second), (9, 0.0));
 }
 
 #[test]
@@ -115,7 +115,8 @@
 
 #[test]
 fn a_step_needs_a_higher_revision_and_the_same_spool() {
-    let rules = |revision: u64, spool: u32| compile(&Config { revision, spool, ..Config::default() }, Version::ZERO);
+    let rules =
+        |revision: u64, spool: u32| compile(&Config { revision, spool_partitions: spool, ..Config::default() }, Version::ZERO);
     let paths = |old: &Rules, new: &Rules| match check_change(old, new, |_| true) {
         Ok(()) => Vec::new(),
         Err(e) => e.faults().into_iter().map(|f| f.path).collect::<Vec<_>>(),
--- a/crates/delivery/src/run/posts.rs
+++ b/crates/delivery/src/run/posts.rs
@@ -59,7 +59,7 @@
     /// is not in force.
     fn span_of(&self, o: &Offer) -> Span {
         let by_config = match o.stage {
-            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt),
+            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt_timeout),
             _ => CALLBACK_TIMEOUT,
         };
         o.attempt_timeout(by_config)
@@ -102,7 +102,7 @@
         let back: Vec<Zone> = self.posts.empty.difference(&self.link.emptied_zones).cloned().collect();
         self.posts.empty.clone_from(&self.link.emptied_zones);
         for w in self.workers.values_mut().filter(|w| back.contains(&w.info.zone)) {
-            let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_ms));
+            let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_up_ms));
             w.cold_until = w.cold_until.max(now + cold);
         }
         self.send_rooms(now);
@@ -122,7 +122,7 @@
     fn fit(&self, w: &Fitness, now: Time) -> bool {
         // One that could not be reached is asked whether it is well, where
         // it can be asked, before a message goes there.
-        let asked = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health.is_empty());
+        let asked = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health_check_path.is_empty());
         let unasked = w.down.is_tripped() && asked();
         w.usable(&self.link, now) && !w.gone && !w.sick.is_open(now) && !unasked
     }
@@ -163,7 +163,7 @@
     fn site_most(&self, s: &Service) -> u32 {
         let told = self.posts.sites.get(&s.address).map_or(0, |x| x.slots);
         let most = if told > 0 { told } else { SITE_SLOTS };
-        let room = if s.connections > 0 { (s.connections * 3 / 4).max(1) } else { SITE_MOST };
+        let room = if s.max_connections_per_worker > 0 { (s.max_connections_per_worker * 3 / 4).max(1) } else { SITE_MOST };
         most.min(room)
     }
 
@@ -227,7 +227,7 @@
             return false;
         }
         let most = service.map_or(SITE_SLOTS, |s| self.site_most(s));
-        let rate = service.map_or(0.0, |s| s.rate);
+        let rate = service.map_or(0.0, |s| s.max_requests_per_second);
         let site = self.posts.sites.entry(addr.to_string()).or_default();
         if rate > 0.0 {
             let pace = site.pace.get_or_insert_with(|| RateLimiter::with_endpoint_rate(rate, now));
@@ -284,7 +284,7 @@
         match &at {
             Aim::Worker(w) => {
                 if let Some(f) = self.workers.get_mut(w) {
-                    let cold = self.link.rules.services.get(&f.info.service).map_or(0.0, |s| s.cold_rate);
+                    let cold = self.link.rules.services.get(&f.info.service).map_or(0.0, |s| s.cold_requests_per_second);
                     f.busy += 1;
                     let rate = cold.max(self.startup.cold_slack * COLD_SLACK_USED).max(COLD_RATE_LEAST);
                     f.cold_next = now + Span((1e6 / rate) as u64);
@@ -420,7 +420,7 @@
             .filter(|w| now.since(w.probed) >= Span::millis(500) && self.may_reach(w, now))
             .filter_map(|w| {
                 let s = self.link.rules.services.get(&w.info.service)?;
-                Some((w.info.id.clone(), w.info.addr.clone(), s.health.clone()))
+                Some((w.info.id.clone(), w.info.addr.clone(), s.health_check_path.clone()))
             })
             .filter(|x| !x.2.is_empty())
             .collect();
--- a/crates/delivery/src/run/rooms.rs
+++ b/crates/delivery/src/run/rooms.rs
@@ -12,7 +12,7 @@
         match duty {
             Duty::Lead(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(place) => {
-                let Some(rule) = self.link.rules.rule_of(place) else { return 0 };
+                let Some(rule) = self.link.rules.rule_for_partition(place) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
                 let full = self.full(service);
                 let fit = || self.workers.values().filter(|w| w.info.service == *service && w.usable(&self.link, now));
@@ -26,7 +26,7 @@
                 (mine * 2).clamp(1, 64)
             }
             Duty::Endpoint(name) => {
-                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
+                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.max_open_requests);
                 let Some(desk) = self.desks.get_mut(name) else { return 0 };
                 if desk.breaker.is_open(now) {
                     return 0;
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -15,7 +15,7 @@
         let list = self.link.workers.clone();
         let names: BTreeSet<WorkerId> = list.iter().map(|w| w.id.clone()).collect();
         for w in list {
-            let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_ms));
+            let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_up_ms));
             let cold = now + w.cold;
             match self.workers.get_mut(&w.id) {
                 // The same name at another address is another worker.
@@ -70,14 +70,15 @@
 
     /// What one worker may run at once, over all deliveries.
     pub(super) fn full(&self, service: &str) -> u32 {
-        self.link.rules.services.get(service).map_or(4, |s| s.slots)
+        self.link.rules.services.get(service).map_or(4, |s| s.slots_per_worker)
     }
 
     /// The slices of a service that this daemon's duties have. Granted by a
     /// placement daemon that knows none, the duties share evenly.
     pub(super) fn slices_of(&self, service: &str) -> Vec<SlotRange> {
-        let takes =
-            |p: &PartitionId| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
+        let takes = |p: &PartitionId| {
+            self.link.rules.rule_for_partition(p).is_some_and(|r| r.target == Target::Workers(service.to_string()))
+        };
         let mine = self.slices.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if takes(p)));
         let all: Vec<SlotRange> = mine.map(|x| *x.1).collect();
         if !all.is_empty() || !self.slices.is_empty() {
@@ -136,7 +137,7 @@
         let asked: BTreeSet<&String> = self
             .link
             .rules
-            .lists
+            .queues
             .values()
             .filter_map(|r| match &r.target {
                 Target::Workers(s) => Some(s),
--- a/crates/ingest/src/proxy/posts.rs
+++ b/crates/ingest/src/proxy/posts.rs
@@ -32,11 +32,11 @@
     /// A partition for a message that may be kept in any: one whose leader
     /// answers, in this zone if there is one.
     fn free_part(&self, now: Time) -> Option<u32> {
-        let spool = self.link.rules.spool;
+        let spool = self.link.rules.spool_partitions;
         let near = &self.startup.me.zone;
         let fit: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let leader = &self.link.partition_locations.get(&Rules::spool_place(n))?.leader;
+                let leader = &self.link.partition_locations.get(&Rules::spool_partition(n))?.leader;
                 let zone = self.link.zone_of(leader)?;
                 (!self.outages.avoids(leader, now)).then_some((zone == near, n))
             })
@@ -61,11 +61,11 @@
             return self.tell(ask, short("this proxy can't confirm the charter in force"));
         }
         let path = parcel.path.split('?').next().unwrap_or_default();
-        let Some(route) = self.link.rules.routes.matched(&parcel.host, path).cloned() else {
+        let Some(route) = self.link.rules.routes.find_match(&parcel.host, path).cloned() else {
             self.counts.refused += 1;
             return self.tell(ask, verdicts::not_taken(404, "no route matches this host and path", None));
         };
-        let most = self.link.rules.limits.body_bytes;
+        let most = self.link.rules.limits.max_body_bytes;
         let wrong = match () {
             _ if parcel.id.is_empty() => Some((400, "a request needs an id")),
             _ if most > 0 && body.len() as u64 > most => Some((413, "the body is larger than is taken")),
@@ -84,7 +84,7 @@
             true => format!("{}\u{1f}{}", route.name, parcel.key),
             false => String::new(),
         };
-        let spool = self.link.rules.spool.max(1);
+        let spool = self.link.rules.spool_partitions.max(1);
         let part = match key.is_empty() {
             true => self.free_part(now),
             false => Some((hash_of(key.as_bytes()) % u64::from(spool)) as u32),
@@ -102,19 +102,19 @@
             key,
             crc: crc32(&body),
             len: body.len() as u32,
-            callback: if route.call_back { desk } else { String::new() },
+            callback: if route.allows_callback { desk } else { String::new() },
             route: route.name.clone(),
             caller_request: Some(parcel),
             accepted_unix_micros: self.wall(now),
             delay,
             ..MessageHeader::default()
         };
-        let limit = Span((route.verdict.0 * PATIENCE).max(LEAST.0)).min(self.startup.limit);
+        let limit = Span((route.target_latency.0 * PATIENCE).max(LEAST.0)).min(self.startup.limit);
         let carry = Carry {
             ask,
             tenant: String::new(),
             seated: false,
-            place: Rules::spool_place(part),
+            place: Rules::spool_partition(part),
             head,
             body,
             first: true,
@@ -125,7 +125,7 @@
             since: now,
             sent: now,
             tried: BTreeSet::new(),
-            post: Some(Bounds { second: SECOND, limit, wanted: route.verdict }),
+            post: Some(Bounds { second: SECOND, limit, wanted: route.target_latency }),
             doubt: false,
         };
         let n = self.next;
@@ -139,7 +139,7 @@
     /// Whether a message of this partition alone is refused at once, as its
     /// leader was silent for long.
     fn leader_is_lost(&mut self, part: u32, now: Time) -> bool {
-        let leader = self.link.partition_locations.get(&Rules::spool_place(part)).map(|placing| &placing.leader);
+        let leader = self.link.partition_locations.get(&Rules::spool_partition(part)).map(|placing| &placing.leader);
         leader.is_some_and(|leader| self.outages.refuses(leader, now))
     }
 
@@ -167,7 +167,7 @@
         let id = self.name(part);
         let Some(c) = self.carries.get_mut(&n) else { return };
         c.head.id = id;
-        c.place = Rules::spool_place(part);
+        c.place = Rules::spool_partition(part);
         c.tried.clear();
         if !self.send_copy(n, false, now) {
             self.not_kept(n);
@@ -182,17 +182,17 @@
     pub(super) fn on_seek(&mut self, ask: RequestId, name: String, body: bool, now: Time) {
         self.counts.looked += 1;
         let part = name.split_once('-').and_then(|(p, _)| u32::from_str_radix(p, 16).ok());
-        let Some(part) = part.filter(|p| *p < self.link.rules.spool || self.link.rules.spool == 0) else {
+        let Some(part) = part.filter(|p| *p < self.link.rules.spool_partitions || self.link.rules.spool_partitions == 0) else {
             return self.tell(ask, verdicts::no_such());
         };
-        if self.link.rules.spool == 0 || self.peeks.len() as u64 >= self.startup.seats * 2 {
+        if self.link.rules.spool_partitions == 0 || self.peeks.len() as u64 >= self.startup.seats * 2 {
             return self.tell(ask, verdicts::unread());
         }
         let n = self.next;
         self.next += 1;
         let peek = Peek {
             ask,
-            place: Rules::spool_place(part),
+            place: Rules::spool_partition(part),
             id: MessageId(name),
             body,
             since: now,
--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -12,7 +12,7 @@
     let mut p = Proxy::new(startup(now));
     let v = Version { term: Term(1), count: 1 };
     let placing = |d: &str| PartitionLocation { leader: Daemon(d.into()), epoch: v };
-    let places = vec![(Rules::spool_place(0), placing("store-1")), (Rules::spool_place(1), placing("store-2"))];
+    let places = vec![(Rules::spool_partition(0), placing("store-1")), (Rules::spool_partition(1), placing("store-2"))];
     let items = vec![
         (v, Update::Config(CONFIG.into())),
         (v, Update::Members(vec![member("store-1", "z1"), member("store-2", "z1"), member("store-3", "z2")])),
--- a/crates/placement/src/primary/reach.rs
+++ b/crates/placement/src/primary/reach.rs
@@ -26,7 +26,7 @@
     /// zone in which a daemon or a listed worker stands.
     pub(super) fn recount(&mut self) {
         let mut all = self.rules.duties();
-        if self.rules.spool > 0 {
+        if self.rules.spool_partitions > 0 {
             let members = self.hard.members.values().map(|m| &m.zone);
             let zones: BTreeSet<&Zone> = members.chain(self.list.workers.iter().map(|w| &w.zone)).collect();
             all.extend(Duty::unlisted_address_shards());
@@ -38,7 +38,7 @@
     /// listed (yet), so that a take-over finds all that is held.
     pub(super) fn calls_for(&self, duty: &Duty) -> bool {
         let part = || home_of(duty).is_some_and(|z| Duty::worker_shards_in(&z).any(|d| d == *duty));
-        self.duties.contains(duty) || self.rules.spool > 0 && part()
+        self.duties.contains(duty) || self.rules.spool_partitions > 0 && part()
     }
     /// The duties there are, with those of reach that anyone tells of.
     pub(super) fn known_duties(&self) -> BTreeSet<Duty> {
--- a/crates/placement/src/primary/revise.rs
+++ b/crates/placement/src/primary/revise.rs
@@ -101,10 +101,10 @@
     /// Fills in what placement chooses: the spool's partitions, once and for
     /// all, by the stores there are.
     pub(super) fn settle(&self, c: &mut Config, now: Time) -> Result<(), Unfit> {
-        if c.spool == 0 {
-            c.spool = self.rules.spool;
+        if c.spool_partitions == 0 {
+            c.spool_partitions = self.rules.spool_partitions;
         }
-        if c.spool > 0 || c.routes.is_empty() {
+        if c.spool_partitions > 0 || c.routes.is_empty() {
             return Ok(());
         }
         let live: Vec<&Member> = self.hard.of(DaemonKind::Store).filter(|m| self.live(&m.id, now)).collect();
@@ -113,7 +113,7 @@
             return Err(Unfit::Later("the stores are still coming in, three in two zones are needed; send it again"));
         }
         let stores = self.hard.of(DaemonKind::Store).filter(|m| !self.retiring(&m.id)).count();
-        c.spool = (stores as u32 * 2).clamp(6, 64);
+        c.spool_partitions = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
 
@@ -135,7 +135,7 @@
 pub(super) fn canonical(c: &Config) -> Result<String, ConfigError> {
     let json = serde_json::to_string(c).map_err(|source| ConfigError::Unreadable { source })?;
     if json.len() > COMMIT_MAX {
-        return Err(ConfigError::Large { size: json.len(), most: COMMIT_MAX });
+        return Err(ConfigError::TooLarge { size: json.len(), max: COMMIT_MAX });
     }
     Ok(json)
 }
--- a/crates/placement/tests/compressed_configuration.rs
+++ b/crates/placement/tests/compressed_configuration.rs
@@ -44,7 +44,7 @@
     let committed = hard(&f).config.clone();
     let items = told(&mut f, "agent-1", true);
     let Update::CompressedConfig(text) = config_of(&items) else { panic!("{items:?}") };
-    assert_eq!(text.read(CONFIG_MAX).as_deref(), Some(committed.as_str()));
+    assert_eq!(text.read(MAX_CONFIG_BYTES).as_deref(), Some(committed.as_str()));
     assert!(text.size() * 5 < committed.len(), "{} of {} bytes", text.size(), committed.len());
     assert_eq!(text.read(committed.len() - 1), None, "longer than its receiver takes");
     let items = told(&mut f, "agent-2", false);
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -138,7 +138,7 @@
     /// Hands out what is due: to a delivery of this zone while it has room,
     /// else to the one that has most.
     pub(super) fn fill_posts(&mut self, now: Time) {
-        if self.taking.is_empty() || self.link.rules.spool == 0 {
+        if self.taking.is_empty() || self.link.rules.spool_partitions == 0 {
             return;
         }
         if self.routed != self.link.rules.version {
@@ -154,7 +154,7 @@
                     *out.entry((g.clone(), f.to.clone())).or_default() += 1;
                 }
             }
-            if own.shed.is_some() || !self.link.rules.spooled(place) || !self.serving(place, now) {
+            if own.shed.is_some() || !self.link.rules.is_spool_partition(place) || !self.serving(place, now) {
                 continue;
             }
             for (name, due) in &own.lane.posts {
@@ -215,12 +215,12 @@
         let call = matches!(goal, Destination::Address(_));
         let attempt = match call {
             true => CALLBACK_TIMEOUT,
-            false => self.link.rules.routes.get(&line.name)?.attempt,
+            false => self.link.rules.routes.get(&line.name)?.attempt_timeout,
         };
-        let worth = self.link.rules.routes.get(&line.name).map(|r| r.worth);
+        let worth = self.link.rules.routes.get(&line.name).map(|r| r.ttl);
         // What can still begin in the time wanted goes before what is late
         // already; but each fourth turn is the oldest's.
-        let start = self.link.rules.routes.get(&line.name).map_or(Span::ZERO, |r| r.start);
+        let start = self.link.rules.routes.get(&line.name).map_or(Span::ZERO, |r| r.target_start);
         let oldest = start == Span::ZERO || self.counts.offers.is_multiple_of(4);
         let fresh = Time(now.0.saturating_sub(start.0));
         let place = &line.place;
@@ -341,7 +341,7 @@
                     return self.stage(place, id, next, None, now);
                 };
                 r.tries += u32::from(told == AttemptOutcome::Failed);
-                if r.tries >= route.attempts {
+                if r.tries >= route.max_attempts {
                     let next = ended(r, Outcome::GivenUp);
                     return self.stage(place, id, next, None, now);
                 }
@@ -375,7 +375,7 @@
     pub(super) fn end_dropped(&mut self, now: Time) {
         let rules = &self.link.rules;
         let mut gone: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
-        for (place, p) in self.parts.iter().filter(|(k, _)| rules.spooled(k) && self.serving(k, now)) {
+        for (place, p) in self.parts.iter().filter(|(k, _)| rules.is_spool_partition(k) && self.serving(k, now)) {
             let Some(own) = p.own.as_ref() else { continue };
             for (name, due) in &own.lane.posts {
                 let route = rules.routes.get(name);
@@ -383,7 +383,7 @@
                     let Some(r) = own.lane.ids.get(&seq).and_then(|id| p.recs.get(id)) else { continue };
                     // One whose success is kept back did not expire.
                     let open = !own.won.contains(&seq) && !own.lane.rests(seq, own.quiet, now);
-                    if route.is_none_or(|x| now.since(r.taken) > x.worth) && open {
+                    if route.is_none_or(|x| now.since(r.taken) > x.ttl) && open {
                         gone.push((place.clone(), r.head.id.clone(), ended(r, Outcome::Expired)));
                     }
                 }
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -12,7 +12,7 @@
     /// Each second: attempts past their hard end, messages past their reading
     /// time or their worth, and the oldest files.
     pub(super) fn sweep(&mut self, now: Time) {
-        let retain = self.link.rules.retain;
+        let retain = self.link.rules.retention;
         let owned: Vec<PartitionId> = self.parts.keys().filter(|p| self.serving(p, now)).cloned().collect();
         for place in owned {
             self.lapse_overdue(&place, now);
@@ -67,7 +67,7 @@
     /// A copy that no leader tends hears of no drops. What ended here lets go
     /// of its room all the same, later than any leader would drop it.
     fn forget(&mut self, now: Time) {
-        let retain = self.link.rules.retain;
+        let retain = self.link.rules.retention;
         if retain == Span::ZERO {
             return;
         }
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -75,7 +75,7 @@
         let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
         let items = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
         let grant = |part: u32| Grant {
-            duty: Duty::Lead(Rules::spool_place(part)),
+            duty: Duty::Lead(Rules::spool_partition(part)),
             epoch: Epoch { term: Term(1), count: self.epoch },
             write_set: set.clone(),
             replacement: None,
@@ -157,7 +157,7 @@
             proxy: daemon("proxy-1"),
             via: None,
             wants_refusal: false,
-            partition: Rules::spool_place(part),
+            partition: Rules::spool_partition(part),
             version: Version::ZERO,
             header: head,
             body,
--- a/crates/scale/src/shape.rs
+++ b/crates/scale/src/shape.rs
@@ -133,7 +133,7 @@
         let rules = dw_config::check::read(&config).map(|c| dw_config::prelude::compile(&c, first)).unwrap_or_default();
         let stores: Vec<Daemon> = self.names().into_iter().filter(|d| d.kind() == DaemonKind::Store).collect();
         let mut layout = BTreeMap::new();
-        for place in rules.lists.values().flat_map(|r| r.places()) {
+        for place in rules.queues.values().flat_map(|r| r.partition_ids()) {
             let at = hash_of(place.to_string().as_bytes()) as usize;
             let set = (0..3.min(stores.len())).map(|n| &stores[(at + n) % stores.len()]).map(|d| (d.clone(), mark_of(d)));
             layout.insert(place, set.collect());
--- a/crates/sim/src/world/control.rs
+++ b/crates/sim/src/world/control.rs
@@ -3,7 +3,7 @@
 
 /// A configuration's text for comparing, without what placement fills in.
 pub(super) fn plain(config: &Config) -> String {
-    let bare = Config { spool: 0, ..config.clone() };
+    let bare = Config { spool_partitions: 0, ..config.clone() };
     serde_json::to_value(&bare).unwrap_or_default().to_string()
 }
 
--- a/crates/sim/src/world/revising.rs
+++ b/crates/sim/src/world/revising.rs
@@ -15,10 +15,10 @@
         prefix: r.prefix.clone(),
         service: r.service.clone(),
         ordered: r.ordered,
-        attempts: r.attempts.max(1),
-        attempt: Span::millis(r.attempt_ms),
-        worth: if r.worth_ms == 0 { Span::secs(86_400) } else { Span::millis(r.worth_ms) },
-        call_back: r.call_back,
+        attempts: r.max_attempts.max(1),
+        attempt: Span::millis(r.attempt_timeout_ms),
+        worth: if r.ttl_ms == 0 { Span::secs(86_400) } else { Span::millis(r.ttl_ms) },
+        call_back: r.allows_callback,
     };
     c.routes.iter().map(one).collect()
 }
