--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,11 +1,11 @@
-//! Routes compiled: how a request is matched, and what is done with its message.
+//! Compiled routes: how a request is matched to a route, and how its message is handled.
 use crate::prelude::*;
 
-/// The tenant and the queue in which routed messages are kept. No
-/// operator's name can be these, as names have no such sign.
+/// Tenant and name of the spool, the queue that stores routed messages. No tenant of
+/// an operator can have this name, because '~' is not allowed in names.
 pub const SPOOL: (&str, &str) = ("~", "spool");
 
-/// One route as the daemons obey it.
+/// One route as the daemons apply it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompiledRoute {
     pub name: String,
@@ -13,17 +13,22 @@
     pub ordered: bool,
     pub max_attempts: u32,
     pub attempt_timeout: Span,
+    /// How long after its acceptance a message may still be attempted.
     pub ttl: Span,
     pub allows_callback: bool,
+    /// 0 is the highest priority.
     pub priority: u32,
+    /// Within how long the caller wants to know whether its message was accepted.
     pub target_latency: Span,
+    /// Within how long the first attempt should start.
     pub target_start: Span,
 }
 
-/// All routes of a configuration. Invariant: of one host the prefixes stand longest
-/// first, so the first that fits is the one that is meant.
+/// All routes of a configuration. Invariant: the prefixes of one host are sorted by
+/// length, longest first, so the first prefix that matches is the longest match.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CompiledRoutes {
+    /// For each host its pairs of path prefix and route name.
     prefixes_by_host: BTreeMap<String, Vec<(String, String)>>,
     by_name: BTreeMap<String, CompiledRoute>,
 }
@@ -32,7 +37,7 @@
     pub fn new(routes: &[Route]) -> CompiledRoutes {
         let mut out = CompiledRoutes::default();
         for r in routes {
-            let one = CompiledRoute {
+            let compiled = CompiledRoute {
                 name: r.name.clone(),
                 service: r.service.clone(),
                 ordered: r.ordered,
@@ -45,17 +50,17 @@
                 target_start: Span::millis(r.target_start_ms),
             };
             out.prefixes_by_host.entry(normalize_host(&r.host)).or_default().push((r.prefix.clone(), r.name.clone()));
-            out.by_name.insert(r.name.clone(), one);
+            out.by_name.insert(r.name.clone(), compiled);
         }
-        for all in out.prefixes_by_host.values_mut() {
-            all.sort_by(|a, b| (b.0.len(), &a.0).cmp(&(a.0.len(), &b.0)));
+        for prefixes in out.prefixes_by_host.values_mut() {
+            prefixes.sort_by(|a, b| (b.0.len(), &a.0).cmp(&(a.0.len(), &b.0)));
         }
         out
     }
-    /// Matches a request by its host and the longest prefix of its path.
-    pub fn find_match(&self, host_of: &str, path: &str) -> Option<&CompiledRoute> {
-        let all = self.prefixes_by_host.get(&normalize_host(host_of))?;
-        let (_, name) = all.iter().find(|(p, _)| path.starts_with(p.as_str()))?;
+    /// Finds the route for a request by its host and the longest matching path prefix.
+    pub fn find_match(&self, host: &str, path: &str) -> Option<&CompiledRoute> {
+        let prefixes = self.prefixes_by_host.get(&normalize_host(host))?;
+        let (_, name) = prefixes.iter().find(|(p, _)| path.starts_with(p.as_str()))?;
         self.by_name.get(name)
     }
     pub fn get(&self, name: &str) -> Option<&CompiledRoute> {
@@ -69,7 +74,7 @@
     }
 }
 
-/// A host's name without its port, in small letters.
-pub fn normalize_host(h: &str) -> String {
-    h.rsplit_once(':').filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit())).map_or(h, |x| x.0).to_ascii_lowercase()
+/// Returns the host name without its port, in lower case.
+pub fn normalize_host(host: &str) -> String {
+    host.rsplit_once(':').filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit())).map_or(host, |x| x.0).to_ascii_lowercase()
 }
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: how they match, what is wrong with them, how a patch changes them.
+//! Routes: matching, validation and patches.
 use dw_config::prelude::*;
 use expect_test::expect;
 use serde_json::{json, Value};
@@ -7,20 +7,21 @@
     json!({"name": name, "host": host, "prefix": prefix, "service": "huvo11a", "attempts": 4, "attempt_ms": 2500})
 }
 
-fn whole(routes: &[Value]) -> Config {
+fn config_with(routes: &[Value]) -> Config {
     let c = json!({"revision": 7, "routes": routes, "services": [{"name": "huvo11a", "rate": 39.0, "doc": "{}"}]});
     dw_config::check::read(&c.to_string()).unwrap()
 }
 
-fn lines(c: &Config) -> String {
+fn fault_lines(c: &Config) -> String {
     let e = check(c).unwrap_err();
     let all: Vec<String> = e.faults().iter().map(|f| format!("{}: {}; {}", f.path, f.problem, f.remedy)).collect();
     all.join("\n")
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_meant() {
-    let c = whole(&[route("a", "lode17.example", "/"), route("b", "LODE17.example", "/vobo/"), route("c", "other", "/vobo/x")]);
+fn the_longest_matching_prefix_of_the_host_is_chosen() {
+    let c =
+        config_with(&[route("a", "lode17.example", "/"), route("b", "LODE17.example", "/vobo/"), route("c", "other", "/vobo/x")]);
     check(&c).unwrap();
     let r = compile(&c, Version::ZERO).routes;
     let name = |h: &str, p: &str| r.find_match(h, p).map(|x| x.name.clone());
@@ -31,8 +32,8 @@
 }
 
 #[test]
-fn faults_of_routes_and_their_services_are_listed_together() {
-    let mut c = whole(&[
+fn faults_of_routes_and_services_are_reported_together() {
+    let mut c = config_with(&[
         route("", "h", "/a/"),
         route("r-b", "H", "/a/"),
         route("r-b", "h", "b/"),
@@ -47,7 +48,7 @@
     c.services[0].max_requests_per_second = f64::NAN;
     c.services[0].cold_requests_per_second = -1.0;
     c.spool_partitions = 65;
-    let all = lines(&c).replace(&"x".repeat(129), "xxx");
+    let all = fault_lines(&c).replace(&"x".repeat(129), "xxx");
     expect![[r#"
         services[0].address: 'desk.example:1' is not an address; write it as ip:port, with an IP number, or leave it out for listed workers
         services[0].rate: NaN is no rate; use a number from 0 on, 0 for no bound
@@ -65,23 +66,24 @@
 }
 
 #[test]
-fn other_tools_names_are_taken_with_routes_only() {
-    let mut c = whole(&[route("r x5wa5xw", "h", "/")]);
+fn names_of_other_tools_are_accepted_only_with_routes() {
+    let mut c = config_with(&[route("r x5wa5xw", "h", "/")]);
     c.services[0].name = "läsesaal 5".into();
     c.routes[0].service = "läsesaal 5".into();
     check(&c).unwrap();
-    // Also once the last route is gone.
+    // The revision still marks it as another tool's without routes.
     c.routes.clear();
     check(&c).unwrap();
     c.revision = 0;
-    assert!(lines(&c).contains("services[0].name"));
-    let own = r#"{"templates": [{"name": "a b"}], "tenants": [{"name": "c d", "template": "a b", "share": 1}], "revision": 1}"#;
-    let own = dw_config::check::read(own).unwrap();
-    assert!(lines(&own).contains("templates[0].name") && lines(&own).contains("tenants[0].name"));
+    assert!(fault_lines(&c).contains("services[0].name"));
+    let own_names =
+        r#"{"templates": [{"name": "a b"}], "tenants": [{"name": "c d", "template": "a b", "share": 1}], "revision": 1}"#;
+    let own_names = dw_config::check::read(own_names).unwrap();
+    assert!(fault_lines(&own_names).contains("templates[0].name") && fault_lines(&own_names).contains("tenants[0].name"));
 }
 
 #[test]
-fn a_config_or_patch_beyond_the_bound_is_not_read() {
+fn a_config_or_patch_over_the_size_limit_is_not_read() {
     let big = json!({"doc": "x".repeat(MAX_CONFIG_BYTES)}).to_string();
     for e in [dw_config::check::read(&big).unwrap_err(), patch(&Config::default(), &big).unwrap_err()] {
         assert!(matches!(e, ConfigError::TooLarge { .. }), "{e}");
@@ -90,8 +92,8 @@
 }
 
 #[test]
-fn a_route_is_replaced_whole_and_a_service_merged_unless_it_brings_its_doc() {
-    let c = whole(&[route("a", "h", "/a/"), route("b", "h", "/b/")]);
+fn a_patch_replaces_a_route_and_merges_a_service_without_doc() {
+    let c = config_with(&[route("a", "h", "/a/"), route("b", "h", "/b/")]);
     let part = json!({"routes": [
         {"name": "b", "host": "h", "prefix": "/bb/", "service": "huvo11a", "attempt_ms": 9},
         {"name": "a", "remove": true}, {"name": "z", "remove": true}]});
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn routes_can_be_patched_into_a_config_without_any() {
+fn a_patch_adds_routes_to_a_config_without_any() {
     let c = Config::default();
     let part = json!({"revision": 1, "services": [{"name": "huvo11a"}], "routes": [{"name": "x", "remove": true}, route("a", "h", "/")]});
     let next = patch(&c, &part.to_string()).unwrap();
@@ -114,7 +116,7 @@
 }
 
 #[test]
-fn a_step_needs_a_higher_revision_and_the_same_spool() {
+fn a_change_needs_a_higher_revision_and_the_same_spool() {
     let rules =
         |revision: u64, spool: u32| compile(&Config { revision, spool_partitions: spool, ..Config::default() }, Version::ZERO);
     let paths = |old: &Rules, new: &Rules| match check_change(old, new, |_| true) {
