--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -16,7 +16,7 @@
         match duty {
             Duty::Lead(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(partition) => {
-                let Some(rule) = self.link.rules.rule_of(partition) else { return 0 };
+                let Some(rule) = self.link.rules.rule_for_partition(partition) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
                 let max_slots = self.service_slots(service);
                 let usable_workers =
@@ -35,7 +35,7 @@
                 (own_slots * 2).clamp(1, 64)
             }
             Duty::Endpoint(name) => {
-                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
+                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.max_open_requests);
                 let Some(endpoint) = self.endpoints.get_mut(name) else { return 0 };
                 if endpoint.breaker.is_open(now) {
                     return 0;
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -75,7 +75,7 @@
         let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
         let updates = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
         let grant = |number: u32| Grant {
-            duty: Duty::Lead(Rules::spool_place(number)),
+            duty: Duty::Lead(Rules::spool_partition(number)),
             epoch: Epoch { term: Term(1), count: self.epoch },
             write_set: set.clone(),
             replacement: None,
@@ -157,7 +157,7 @@
             proxy: daemon("proxy-1"),
             via: None,
             wants_refusal: false,
-            partition: Rules::spool_place(number),
+            partition: Rules::spool_partition(number),
             version: Version::ZERO,
             header,
             body,
