--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -68,7 +68,7 @@
     /// The timeout of one attempt of a routed message; zero if its route is not in force.
     fn routed_timeout(&self, o: &Offer) -> Span {
         let by_config = match o.stage {
-            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt),
+            Stage::Pending => self.link.rules.routes.get(&o.header.route).map_or(Span::ZERO, |r| r.attempt_timeout),
             _ => CALLBACK_TIMEOUT,
         };
         o.attempt_timeout(by_config)
@@ -114,7 +114,7 @@
         let reopened: Vec<Zone> = self.routed.emptied_zones.difference(&self.link.emptied_zones).cloned().collect();
         self.routed.emptied_zones.clone_from(&self.link.emptied_zones);
         for w in self.workers.values_mut().filter(|w| reopened.contains(&w.info.zone)) {
-            let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_ms));
+            let cold = self.link.rules.services.get(&w.info.service).map_or(Span::secs(3), |s| Span::millis(s.warm_up_ms));
             w.cold_until = w.cold_until.max(now + cold);
         }
         self.send_capacity(now);
@@ -137,7 +137,7 @@
     fn can_take_routed(&self, w: &WorkerState, now: Time) -> bool {
         // A worker that could not be reached has to pass a health check first, if its
         // service has one.
-        let has_health_check = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health.is_empty());
+        let has_health_check = || self.link.rules.services.get(&w.info.service).is_some_and(|s| !s.health_check_path.is_empty());
         let check_pending = w.connect_breaker.is_tripped() && has_health_check();
         w.is_usable(&self.link, now) && !w.is_gone && !w.failure_breaker.is_open(now) && !check_pending
     }
@@ -180,7 +180,8 @@
     fn max_address_calls(&self, s: &Service) -> u32 {
         let reported = self.routed.addresses.get(&s.address).map_or(0, |x| x.slots);
         let slots = if reported > 0 { reported } else { DEFAULT_ADDRESS_SLOTS };
-        let limit = if s.connections > 0 { (s.connections * 3 / 4).max(1) } else { MAX_ADDRESS_CALLS };
+        let limit =
+            if s.max_connections_per_worker > 0 { (s.max_connections_per_worker * 3 / 4).max(1) } else { MAX_ADDRESS_CALLS };
         slots.min(limit)
     }
 
@@ -254,7 +255,7 @@
             return false;
         }
         let max_calls = service.map_or(DEFAULT_ADDRESS_SLOTS, |s| self.max_address_calls(s));
-        let rate = service.map_or(0.0, |s| s.rate);
+        let rate = service.map_or(0.0, |s| s.max_requests_per_second);
         let address = self.routed.addresses.entry(addr.to_string()).or_default();
         if rate > 0.0 {
             let rate_limiter = address.rate_limiter.get_or_insert_with(|| RateLimiter::with_endpoint_rate(rate, now));
@@ -315,7 +316,7 @@
         match &target {
             SendTarget::Worker(w) => {
                 if let Some(state) = self.workers.get_mut(w) {
-                    let cold_rate = self.link.rules.services.get(&state.info.service).map_or(0.0, |s| s.cold_rate);
+                    let cold_rate = self.link.rules.services.get(&state.info.service).map_or(0.0, |s| s.cold_requests_per_second);
                     state.open_calls += 1;
                     let rate = cold_rate.max(self.startup.cold_calls_per_second * COLD_RATE_SHARE).max(MIN_COLD_RATE);
                     state.next_cold_send = now + Span((1e6 / rate) as u64);
@@ -453,7 +454,7 @@
             .filter(|w| now.since(w.last_probe) >= Span::millis(500) && self.may_send_to_worker(w, now))
             .filter_map(|w| {
                 let s = self.link.rules.services.get(&w.info.service)?;
-                Some((w.info.id.clone(), w.info.addr.clone(), s.health.clone()))
+                Some((w.info.id.clone(), w.info.addr.clone(), s.health_check_path.clone()))
             })
             .filter(|x| !x.2.is_empty())
             .collect();
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -16,7 +16,7 @@
         let list = self.link.workers.clone();
         let names: BTreeSet<WorkerId> = list.iter().map(|w| w.id.clone()).collect();
         for w in list {
-            let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_ms));
+            let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_up_ms));
             let cold = now + w.cold;
             match self.workers.get_mut(&w.id) {
                 // A worker with the same id at another address is another worker.
@@ -74,14 +74,15 @@
 
     /// How many calls one worker of a service may run at once, over all delivery daemons.
     pub(super) fn service_slots(&self, service: &str) -> u32 {
-        self.link.rules.services.get(service).map_or(4, |s| s.slots)
+        self.link.rules.services.get(service).map_or(4, |s| s.slots_per_worker)
     }
 
     /// The slot ranges of a service that this daemon's duties have. If the placement
     /// daemon granted no ranges, the delivery daemons share the slots evenly.
     pub(super) fn slot_ranges_of(&self, service: &str) -> Vec<SlotRange> {
-        let uses_service =
-            |p: &PartitionId| self.link.rules.rule_of(p).is_some_and(|r| r.target == Target::Workers(service.to_string()));
+        let uses_service = |p: &PartitionId| {
+            self.link.rules.rule_for_partition(p).is_some_and(|r| r.target == Target::Workers(service.to_string()))
+        };
         let own_ranges = self.slot_ranges.iter().filter(|(d, _)| matches!(d, Duty::Deliver(p) if uses_service(p)));
         let all: Vec<SlotRange> = own_ranges.map(|x| *x.1).collect();
         if !all.is_empty() || !self.slot_ranges.is_empty() {
@@ -141,7 +142,7 @@
         let asked: BTreeSet<&String> = self
             .link
             .rules
-            .lists
+            .queues
             .values()
             .filter_map(|r| match &r.target {
                 Target::Workers(s) => Some(s),
--- a/crates/ingest/src/proxy/routed.rs
+++ b/crates/ingest/src/proxy/routed.rs
@@ -35,11 +35,11 @@
     /// Chooses the partition for a message that may go to any: one whose leader answers,
     /// in this zone if there is one.
     fn choose_partition(&self, now: Time) -> Option<u32> {
-        let spool = self.link.rules.spool;
+        let spool = self.link.rules.spool_partitions;
         let own_zone = &self.startup.me.zone;
         let candidates: Vec<(bool, u32)> = (0..spool)
             .filter_map(|n| {
-                let leader = &self.link.partition_locations.get(&Rules::spool_place(n))?.leader;
+                let leader = &self.link.partition_locations.get(&Rules::spool_partition(n))?.leader;
                 let zone = self.link.zone_of(leader)?;
                 (!self.outages.should_avoid(leader, now)).then_some((zone == own_zone, n))
             })
@@ -65,11 +65,11 @@
             return self.respond(request, unavailable("this proxy can't confirm the charter in force"));
         }
         let path = caller_request.path.split('?').next().unwrap_or_default();
-        let Some(route) = self.link.rules.routes.matched(&caller_request.host, path).cloned() else {
+        let Some(route) = self.link.rules.routes.find_match(&caller_request.host, path).cloned() else {
             self.counts.rejected += 1;
             return self.respond(request, responses::rejected(404, "no route matches this host and path", None));
         };
-        let max_body_bytes = self.link.rules.limits.body_bytes;
+        let max_body_bytes = self.link.rules.limits.max_body_bytes;
         let invalid = match () {
             _ if caller_request.id.is_empty() => Some((400, "a request needs an id")),
             _ if max_body_bytes > 0 && body.len() as u64 > max_body_bytes => Some((413, "the body is larger than is taken")),
@@ -88,7 +88,7 @@
             true => format!("{}\u{1f}{}", route.name, caller_request.key),
             false => String::new(),
         };
-        let spool = self.link.rules.spool.max(1);
+        let spool = self.link.rules.spool_partitions.max(1);
         let partition_number = match key.is_empty() {
             true => self.choose_partition(now),
             false => Some((hash_of(key.as_bytes()) % u64::from(spool)) as u32),
@@ -106,7 +106,7 @@
             key,
             crc: crc32(&body),
             len: body.len() as u32,
-            callback: if route.call_back { callback } else { String::new() },
+            callback: if route.allows_callback { callback } else { String::new() },
             route: route.name.clone(),
             caller_request: Some(caller_request),
             accepted_unix_micros: self.unix_micros(now),
@@ -114,12 +114,12 @@
             ..MessageHeader::default()
         };
         let response_timeout =
-            Span((route.verdict.0 * MAX_TARGET_MULTIPLE).max(MIN_RESPONSE_TIMEOUT.0)).min(self.startup.response_timeout);
+            Span((route.target_latency.0 * MAX_TARGET_MULTIPLE).max(MIN_RESPONSE_TIMEOUT.0)).min(self.startup.response_timeout);
         let submission = Submission {
             request,
             tenant: String::new(),
             holds_slot: false,
-            partition: Rules::spool_place(partition_number),
+            partition: Rules::spool_partition(partition_number),
             header,
             body,
             declared_new: true,
@@ -130,7 +130,11 @@
             received_at: now,
             last_sent_at: now,
             tried: BTreeSet::new(),
-            routed: Some(RoutedTimeouts { resend_after: ROUTED_RESEND_AFTER, response_timeout, response_target: route.verdict }),
+            routed: Some(RoutedTimeouts {
+                resend_after: ROUTED_RESEND_AFTER,
+                response_timeout,
+                response_target: route.target_latency,
+            }),
             maybe_written: false,
         };
         let n = self.next_number;
@@ -144,7 +148,8 @@
     /// Whether a message that only this partition may hold is rejected at once, because the
     /// leader has been silent for long.
     fn leader_is_lost(&mut self, partition_number: u32, now: Time) -> bool {
-        let leader = self.link.partition_locations.get(&Rules::spool_place(partition_number)).map(|location| &location.leader);
+        let leader =
+            self.link.partition_locations.get(&Rules::spool_partition(partition_number)).map(|location| &location.leader);
         leader.is_some_and(|leader| self.outages.should_reject(leader, now))
     }
 
@@ -172,7 +177,7 @@
         let id = self.new_message_id(partition_number);
         let Some(submission) = self.submissions.get_mut(&n) else { return };
         submission.header.id = id;
-        submission.partition = Rules::spool_place(partition_number);
+        submission.partition = Rules::spool_partition(partition_number);
         submission.tried.clear();
         if !self.send_copy(n, false, now) {
             self.reject_unwritten(n);
@@ -188,17 +193,19 @@
     pub(super) fn on_lookup_routed(&mut self, request: RequestId, name: String, with_body: bool, now: Time) {
         self.counts.lookups += 1;
         let partition_number = name.split_once('-').and_then(|(p, _)| u32::from_str_radix(p, 16).ok());
-        let Some(partition_number) = partition_number.filter(|p| *p < self.link.rules.spool || self.link.rules.spool == 0) else {
+        let Some(partition_number) =
+            partition_number.filter(|p| *p < self.link.rules.spool_partitions || self.link.rules.spool_partitions == 0)
+        else {
             return self.respond(request, responses::not_found());
         };
-        if self.link.rules.spool == 0 || self.lookups.len() as u64 >= self.startup.max_submissions * 2 {
+        if self.link.rules.spool_partitions == 0 || self.lookups.len() as u64 >= self.startup.max_submissions * 2 {
             return self.respond(request, responses::partition_unreadable());
         }
         let n = self.next_number;
         self.next_number += 1;
         let lookup = PendingLookup {
             request,
-            partition: Rules::spool_place(partition_number),
+            partition: Rules::spool_partition(partition_number),
             id: MessageId(name),
             with_body,
             received_at: now,
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -110,10 +110,10 @@
     /// Sets the number of partitions of the spool (the queue for routed requests) if it is
     /// not set yet. It is derived from the number of stores and never changes afterwards.
     pub(super) fn assign_spool_partitions(&self, c: &mut Config, now: Time) -> Result<(), ConfigRejection> {
-        if c.spool == 0 {
-            c.spool = self.rules.spool;
+        if c.spool_partitions == 0 {
+            c.spool_partitions = self.rules.spool_partitions;
         }
-        if c.spool > 0 || c.routes.is_empty() {
+        if c.spool_partitions > 0 || c.routes.is_empty() {
             return Ok(());
         }
         let live: Vec<&Member> = self.committed.members_of_kind(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
@@ -124,7 +124,7 @@
             ));
         }
         let stores = self.committed.members_of_kind(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
-        c.spool = (stores as u32 * 2).clamp(6, 64);
+        c.spool_partitions = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
 
@@ -150,7 +150,7 @@
 pub(super) fn canonical_json(c: &Config) -> Result<String, ConfigError> {
     let json = serde_json::to_string(c).map_err(|source| ConfigError::Unreadable { source })?;
     if json.len() > COMMIT_MAX {
-        return Err(ConfigError::Large { size: json.len(), most: COMMIT_MAX });
+        return Err(ConfigError::TooLarge { size: json.len(), max: COMMIT_MAX });
     }
     Ok(json)
 }
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -168,7 +168,7 @@
     /// Dispatches what is due: to a delivery in this zone while it has capacity, else to
     /// the one with the most capacity.
     pub(super) fn dispatch_routed(&mut self, now: Time) {
-        if self.routed_capacity.is_empty() || self.link.rules.spool == 0 {
+        if self.routed_capacity.is_empty() || self.link.rules.spool_partitions == 0 {
             return;
         }
         if self.routes_checked_version != self.link.rules.version {
@@ -184,7 +184,10 @@
                     *in_flight.entry((g.clone(), f.delivery.clone())).or_default() += 1;
                 }
             }
-            if lead.releasing_since.is_some() || !self.link.rules.spooled(partition) || !self.is_serving(partition, now) {
+            if lead.releasing_since.is_some()
+                || !self.link.rules.is_spool_partition(partition)
+                || !self.is_serving(partition, now)
+            {
                 continue;
             }
             for (route_name, due) in &lead.queues.routed {
@@ -265,12 +268,12 @@
         let is_callback = matches!(destination, Destination::Address(_));
         let attempt = match is_callback {
             true => CALLBACK_TIMEOUT,
-            false => self.link.rules.routes.get(&queue.route_or_address)?.attempt,
+            false => self.link.rules.routes.get(&queue.route_or_address)?.attempt_timeout,
         };
-        let max_age = self.link.rules.routes.get(&queue.route_or_address).map(|x| x.worth);
+        let max_age = self.link.rules.routes.get(&queue.route_or_address).map(|x| x.ttl);
         // Messages that can still start within the target time go before those that are
         // late already, but every fourth dispatch takes the oldest message.
-        let start_target = self.link.rules.routes.get(&queue.route_or_address).map_or(Span::ZERO, |x| x.start);
+        let start_target = self.link.rules.routes.get(&queue.route_or_address).map_or(Span::ZERO, |x| x.target_start);
         let oldest_first = start_target == Span::ZERO || self.counts.attempts_offered.is_multiple_of(4);
         let on_time_since = Time(now.0.saturating_sub(start_target.0));
         let partition = &queue.partition;
@@ -335,7 +338,7 @@
                 attempt: attempt_id,
                 callback: String::new(),
                 destination: Some(destination.clone()),
-                incarnation: incarnation,
+                incarnation,
                 deadline: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
             lead.queues.in_flight.insert(seq, flight);
@@ -410,7 +413,7 @@
                     return self.set_stage(partition, id, next, None, now);
                 };
                 record.failed_attempts += u32::from(outcome == AttemptOutcome::Failed);
-                if record.failed_attempts >= route.attempts {
+                if record.failed_attempts >= route.max_attempts {
                     let next = stage_after_work(record, Outcome::GivenUp);
                     return self.set_stage(partition, id, next, None, now);
                 }
@@ -447,7 +450,7 @@
     pub(super) fn expire_routed(&mut self, now: Time) {
         let rules = &self.link.rules;
         let mut expired: Vec<(PartitionId, MessageId, Stage)> = Vec::new();
-        for (partition, part) in self.partitions.iter().filter(|(k, _)| rules.spooled(k) && self.is_serving(k, now)) {
+        for (partition, part) in self.partitions.iter().filter(|(k, _)| rules.is_spool_partition(k) && self.is_serving(k, now)) {
             let Some(lead) = part.leader_state.as_ref() else { continue };
             for (route_name, due) in &lead.queues.routed {
                 let route = rules.routes.get(route_name);
@@ -456,7 +459,7 @@
                     // A message whose success is deferred has not expired.
                     let may_expire =
                         !lead.unpublished_successes.contains(&seq) && !lead.queues.is_held(seq, lead.hold_until, now);
-                    if route.is_none_or(|x| now.since(record.received_at) > x.worth) && may_expire {
+                    if route.is_none_or(|x| now.since(record.received_at) > x.ttl) && may_expire {
                         expired.push((partition.clone(), record.header.id.clone(), stage_after_work(record, Outcome::Expired)));
                     }
                 }
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -12,7 +12,7 @@
     /// Runs every second: handles attempts past their deadline, messages past their
     /// retention or expiry, and the oldest file.
     pub(super) fn run_maintenance(&mut self, now: Time) {
-        let retain = self.link.rules.retain;
+        let retain = self.link.rules.retention;
         let led: Vec<PartitionId> = self.partitions.keys().filter(|k| self.is_serving(k, now)).cloned().collect();
         for partition in led {
             self.expire_overdue_attempts(&partition, now);
@@ -71,7 +71,7 @@
     /// Removes old records from replicas. One that no leader maintains receives no
     /// removals, so each drops its ended records by itself, later than any leader would.
     fn drop_old_replica_records(&mut self, now: Time) {
-        let retain = self.link.rules.retain;
+        let retain = self.link.rules.retention;
         if retain == Span::ZERO {
             return;
         }
