--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -335,7 +335,7 @@
                 attempt: attempt_id,
                 callback: String::new(),
                 destination: Some(destination.clone()),
-                incarnation: incarnation,
+                incarnation,
                 deadline: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
             lead.queues.in_flight.insert(seq, flight);
