--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -28,8 +28,8 @@
     /// Whether a live store without a seat started recently.
     fn has_successor(&self, now: Time) -> bool {
         let started_recently =
-            |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.since) < SUCCESSOR_PERIOD);
-        let mut stores = self.committed.of(DaemonKind::Store).map(|member| &member.id);
+            |store: &Daemon| self.daemons.get(store).is_some_and(|seen| now.since(seen.live_since) < SUCCESSOR_PERIOD);
+        let mut stores = self.committed.members_of_kind(DaemonKind::Store).map(|member| &member.id);
         stores.any(|store| started_recently(store) && self.is_live(store, now) && self.seat_count(store) == 0)
     }
 
@@ -39,7 +39,7 @@
     pub(super) fn update_departing(&mut self, now: Time) {
         let stopping: BTreeSet<Daemon> = self
             .committed
-            .of(DaemonKind::Store)
+            .members_of_kind(DaemonKind::Store)
             .map(|member| member.id.clone())
             .filter(|store| self.is_stopping(store))
             .collect();
@@ -53,12 +53,13 @@
     /// Tells a stopping store whether to wait. A primary that is not serving yet can't
     /// know, so it says to wait; the store limits its wait itself.
     pub(super) fn answer_departure(&mut self, store: &Daemon, now: Time) {
-        if self.phase == Office::Serving {
+        if self.phase == PrimaryPhase::Serving {
             self.update_departing(now);
         }
         let has_seat = |set: &[(Daemon, IncarnationId)]| set.iter().any(|seat| seat.0 == *store);
         let mut partitions = self.committed.layout.iter().filter(|(_, set)| has_seat(set)).map(|(partition, _)| partition);
-        let wait = partitions.any(|partition| self.phase != Office::Serving || self.wanted_replacement(partition, now).is_some());
+        let wait =
+            partitions.any(|partition| self.phase != PrimaryPhase::Serving || self.wanted_replacement(partition, now).is_some());
         self.send(store, PeerMessage::Departure { term: self.election.term(), wait });
     }
 }
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -31,8 +31,8 @@
         now: Time,
     ) -> Option<ApiResponse> {
         let op = OperationId::numbered(order_kind(is_patch), base, json);
-        let known = self.committed.operations.known(&op, None);
-        if let Known::Done(version) = known {
+        let known = self.committed.operations.status(&op, None);
+        if let OperationStatus::Done(version) = known {
             return Some(operation_done(version, &op));
         }
         if let Some(ids) = self.waiting_requests(&op) {
@@ -42,7 +42,7 @@
             ids.push(id);
             return None;
         }
-        if base != self.rules.revision && known == Known::Unknown {
+        if base != self.rules.revision && known == OperationStatus::Unknown {
             return Some(self.unrecorded_response(&op, json, is_patch, now));
         }
         if base != self.rules.revision {
@@ -116,14 +116,14 @@
         if c.spool > 0 || c.routes.is_empty() {
             return Ok(());
         }
-        let live: Vec<&Member> = self.committed.of(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
+        let live: Vec<&Member> = self.committed.members_of_kind(DaemonKind::Store).filter(|m| self.is_live(&m.id, now)).collect();
         let zones: BTreeSet<&Zone> = live.iter().map(|m| &m.zone).collect();
         if live.len() < 3 || zones.len() < 2 || now.since(self.last_store_joined_at) < STORE_JOIN_QUIET_PERIOD {
             return Err(ConfigRejection::RetryLater(
                 "the stores are still coming in, three in two zones are needed; send it again",
             ));
         }
-        let stores = self.committed.of(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
+        let stores = self.committed.members_of_kind(DaemonKind::Store).filter(|m| !self.is_retiring(&m.id)).count();
         c.spool = (stores as u32 * 2).clamp(6, 64);
         Ok(())
     }
--- a/crates/placement/src/primary/replacement.rs
+++ b/crates/placement/src/primary/replacement.rs
@@ -90,7 +90,7 @@
 
     /// How long a daemon has been silent while this primary was running.
     pub(super) fn silent_for(&self, daemon: &Daemon, now: Time) -> Span {
-        let last_contact = self.daemons.get(daemon).map_or(Time(0), |s| s.at);
+        let last_contact = self.daemons.get(daemon).map_or(Time(0), |s| s.last_pull_at);
         now.since(last_contact.max(self.replacements.listening_since))
     }
 
@@ -103,15 +103,15 @@
     /// in contact again.
     fn update_absent(&mut self, now: Time) {
         let is_newcomer = |m: &Member| {
-            let is_recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.since) < NEWCOMER_PERIOD);
+            let is_recent = self.daemons.get(&m.id).is_some_and(|s| now.since(s.live_since) < NEWCOMER_PERIOD);
             is_recent && self.is_live(&m.id, now) && self.seat_count(&m.id) == 0
         };
-        let timeout = match self.committed.of(DaemonKind::Store).any(is_newcomer) {
+        let timeout = match self.committed.members_of_kind(DaemonKind::Store).any(is_newcomer) {
             true => ABSENT_AFTER_WITH_NEWCOMER,
             false => ABSENT_AFTER_WITHOUT_NEWCOMER,
         };
         let liveness_window = self.liveness_window();
-        let stores: Vec<Daemon> = self.committed.of(DaemonKind::Store).map(|m| m.id.clone()).collect();
+        let stores: Vec<Daemon> = self.committed.members_of_kind(DaemonKind::Store).map(|m| m.id.clone()).collect();
         self.replacements.absent.retain(|d| stores.contains(d));
         for store in stores {
             let silence = self.silent_for(&store, now);
@@ -128,7 +128,7 @@
     fn choose_replacements(&mut self, now: Time) {
         let size = self.target_write_set_size(now);
         let any_too_small = self.committed.layout.values().any(|set| set.len() < size);
-        if self.replacements.is_idle() && self.committed.retiring.is_empty() && !any_too_small {
+        if self.replacements.is_idle() && self.committed.retiring_stores.is_empty() && !any_too_small {
             return;
         }
         let partitions: Vec<PartitionId> = self.committed.layout.keys().cloned().collect();
@@ -174,7 +174,7 @@
     /// available.
     fn target_write_set_size(&self, now: Time) -> usize {
         let remains = |m: &&Member| self.is_live(&m.id, now) && !self.is_retiring(&m.id) && !self.is_departing(&m.id);
-        self.startup.tolerates.replicas(self.committed.of(DaemonKind::Store).filter(remains).count())
+        self.startup.tolerates.replicas(self.committed.members_of_kind(DaemonKind::Store).filter(remains).count())
     }
 
     /// The store to add to a write set of fewer than `size` stores, one created when there
@@ -221,7 +221,7 @@
         let zones: Vec<_> = set.iter().filter(|s| Some(&s.0) != removed).map(|s| zone(&s.0)).collect();
         let seats_in = |z: &Zone| zones.iter().filter(|x| x.as_ref() == Some(z)).count();
         self.committed
-            .of(DaemonKind::Store)
+            .members_of_kind(DaemonKind::Store)
             .filter(|m| Some(&m.id) != removed && self.is_live(&m.id, now) && !set.iter().any(|s| s.0 == m.id))
             .min_by_key(|m| (seats_in(&m.zone), hash_of(format!("{partition}@{}", m.id).as_bytes())))
             .map(|m| m.id.clone())
@@ -254,7 +254,7 @@
     /// as retired.
     fn drain_retiring_stores(&mut self, now: Time) {
         let retiring: Vec<Daemon> =
-            self.committed.retiring.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
+            self.committed.retiring_stores.iter().filter(|r| *r.1 == Retirement::Asked).map(|r| r.0.clone()).collect();
         for store in retiring {
             if self.seat_count(&store) == 0 {
                 let order = Order::RetireStore { store: store.clone(), state: Retirement::Done };
--- a/crates/placement/src/primary/shortfall.rs
+++ b/crates/placement/src/primary/shortfall.rs
@@ -19,16 +19,17 @@
     /// The redundancy of the voters and of all write sets at this moment.
     fn current_redundancy(&self, now: Time) -> Redundancy {
         let voters = self.election.connected_voters(now).into_iter().map(|(_, voter)| voter.zone).collect();
-        let voters = Group { size: self.election.configuration().voter_names().len(), present: voters };
-        let sets = self.committed.layout.values().map(|set| Group { size: set.len(), present: self.present_zones(set, now) });
-        Redundancy::of(voters, sets.collect(), &self.startup.tolerates)
+        let voters = QuorumGroup { size: self.election.configuration().voter_names().len(), present: voters };
+        let sets =
+            self.committed.layout.values().map(|set| QuorumGroup { size: set.len(), present: self.present_zones(set, now) });
+        Redundancy::new(voters, sets.collect(), &self.startup.tolerates)
     }
 
     /// The zones of those stores of a write set that are live with the data folder that
     /// counts.
     fn present_zones(&self, set: &[(Daemon, IncarnationId)], now: Time) -> Vec<Zone> {
         let is_present = |seat: &&(Daemon, IncarnationId)| {
-            self.is_live(&seat.0, now) && self.daemons.get(&seat.0).is_some_and(|seen| seen.disk == seat.1)
+            self.is_live(&seat.0, now) && self.daemons.get(&seat.0).is_some_and(|seen| seen.disk_id == seat.1)
         };
         let present = set.iter().filter(is_present);
         present.filter_map(|seat| self.committed.members.get(&seat.0).map(|member| member.zone.clone())).collect()
@@ -59,15 +60,15 @@
     pub(super) fn redundancy_status(&self, now: Time) -> Value {
         let required = &self.startup.tolerates;
         let redundancy = self.current_redundancy(now);
-        let group = |group: &Group| {
-            json!({"size": group.size, "present": group.present.len(), "machines": group.machines(),
-                   "zones": group.bears_zones(required.zones)})
+        let group = |group: &QuorumGroup| {
+            json!({"size": group.size, "present": group.present.len(), "machines": group.spare_machines(),
+                   "zones": group.survives_zone_losses(required.zones)})
         };
         json!({
             "stated": {"machines": required.machines, "zones": required.zones, "regions": required.regions},
             "voters": group(&redundancy.voters),
-            "weakest_write_set": redundancy.weakest_set.as_ref().map(group),
-            "weak_write_sets": redundancy.weak_sets,
+            "weakest_write_set": redundancy.weakest_write_set.as_ref().map(group),
+            "weak_write_sets": redundancy.weak_write_sets,
             "shortfall": redundancy.shortfall(required),
         })
     }
