--- a/crates/queue/src/dispatch_queues.rs
+++ b/crates/queue/src/dispatch_queues.rs
@@ -40,7 +40,9 @@
     pub callbacks: BTreeMap<String, BTreeSet<(Time, u64)>>,
     /// Messages whose work is not over, by ordering key.
     pub pending_by_key: BTreeMap<String, BTreeSet<u64>>,
+    /// The message ids of all sequence numbers here.
     pub ids: BTreeMap<u64, MessageId>,
+    /// Attempts in flight, by the sequence number of their message.
     pub in_flight: BTreeMap<u64, DispatchedAttempt>,
 }
 
--- a/crates/queue/src/journal.rs
+++ b/crates/queue/src/journal.rs
@@ -83,7 +83,9 @@
 /// the entry that put the record.
 #[derive(Clone, Debug)]
 struct Segment {
+    /// The number of its first save.
     first: u64,
+    /// The number of its last save.
     last: u64,
     /// Records whose body is in this segment.
     live_records: u64,
@@ -260,6 +262,7 @@
     pub fn segment_count(&self) -> usize {
         self.segments.len()
     }
+    /// The first save of the oldest segment.
     pub fn oldest_save(&self) -> u64 {
         self.segments.front().map_or(self.next_save, |f| f.first)
     }
--- a/crates/queue/src/partial_copy.rs
+++ b/crates/queue/src/partial_copy.rs
@@ -30,6 +30,7 @@
     next_seq: u64,
     /// No more records follow.
     complete: bool,
+    /// Messages whose body is still to be requested.
     missing_bodies: BTreeSet<MessageId>,
     /// Bodies received before the copy was restarted: a message's body never changes.
     reusable_bodies: BTreeMap<MessageId, Bytes>,
