--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -12,7 +12,7 @@
     let mut p = Proxy::new(startup(now));
     let v = Version { term: Term(1), count: 1 };
     let location = |d: &str| PartitionLocation { leader: Daemon(d.into()), epoch: v };
-    let partitions = vec![(Rules::spool_place(0), location("store-1")), (Rules::spool_place(1), location("store-2"))];
+    let partitions = vec![(Rules::spool_partition(0), location("store-1")), (Rules::spool_partition(1), location("store-2"))];
     let updates = vec![
         (v, Update::Config(CONFIG.into())),
         (v, Update::Members(vec![member("store-1", "z1"), member("store-2", "z1"), member("store-3", "z2")])),
