--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -30,7 +30,8 @@
                     .copied()
                     .or_else(|| self.slot_ranges_of(service).first().copied())
                     .unwrap_or_default();
-                let own_slots: u32 = usable_workers().map(|w| range.of(w.warm_up.slots(max_slots, now), w.slot_rounding)).sum();
+                let own_slots: u32 =
+                    usable_workers().map(|w| range.slot_count(w.warm_up.slots(max_slots, now), w.slot_rounding)).sum();
                 // Twice what can run, so that a free slot never waits for a network round trip.
                 (own_slots * 2).clamp(1, 64)
             }
--- a/crates/delivery/src/run/routed.rs
+++ b/crates/delivery/src/run/routed.rs
@@ -474,7 +474,7 @@
         let Some(state) = self.workers.get_mut(&id) else { return };
         match result {
             CallResult::Health { worker: Some(w), .. } if w != id => state.is_gone = true,
-            CallResult::Health { well: true, .. } => {
+            CallResult::Health { healthy: true, .. } => {
                 if state.connect_breaker.record_success() {
                     self.effects.push(Effect::Log(LogEvent::WorkerReadmitted, id.to_string()));
                     self.send_capacity(now);
--- a/crates/delivery/src/run/workers.rs
+++ b/crates/delivery/src/run/workers.rs
@@ -17,7 +17,7 @@
         let names: BTreeSet<WorkerId> = list.iter().map(|w| w.id.clone()).collect();
         for w in list {
             let warm = self.link.rules.services.get(&w.service).map_or(Span::secs(10), |s| Span::millis(s.warm_up_ms));
-            let cold = now + w.cold;
+            let cold = now + w.remaining_warm_up;
             match self.workers.get_mut(&w.id) {
                 // A worker with the same id at another address is another worker.
                 Some(state) if state.info.addr == w.addr => {
@@ -59,7 +59,7 @@
             let (max_slots, new_ranges) = (self.service_slots(&service), self.slot_ranges_of(&service));
             for w in self.workers.values_mut().filter(|w| w.info.service == service && w.warm_up.is_warming(now)) {
                 let slots = w.warm_up.slots(max_slots, now);
-                let slots_in = |all: &[SlotRange]| all.iter().map(|s| s.of(slots, w.slot_rounding)).sum::<u32>();
+                let slots_in = |all: &[SlotRange]| all.iter().map(|s| s.slot_count(slots, w.slot_rounding)).sum::<u32>();
                 if slots_in(&new_ranges) > slots_in(&old_ranges) {
                     w.warm_up.last_start = now;
                 }
@@ -112,7 +112,7 @@
             .filter(|w| w.is_usable(&self.link, now) && (ignore_failures || !w.failure_breaker.is_open(now)))
             .filter(|w| {
                 let slots = w.warm_up.slots(max_slots, now);
-                let own_slots: u32 = ranges.iter().map(|s| s.of(slots, w.slot_rounding)).sum();
+                let own_slots: u32 = ranges.iter().map(|s| s.slot_count(slots, w.slot_rounding)).sum();
                 if list_is_new || w.may_have_restarted(now) {
                     let just_started = WarmUp { started_at: now, ..w.warm_up };
                     return w.open_calls < own_slots.min(1) && just_started.may_start(slots, own_slots, now);
--- a/crates/delivery/tests/harness/mod.rs
+++ b/crates/delivery/tests/harness/mod.rs
@@ -43,7 +43,7 @@
         draining: false,
         age: Span::secs(60),
         slots: 1,
-        cold: Span::ZERO,
+        remaining_warm_up: Span::ZERO,
     }
 }
 
@@ -160,7 +160,7 @@
     }
 
     fn worker(&self) -> Worker {
-        Worker { cold: self.cold, slots: self.slots, ..worker() }
+        Worker { remaining_warm_up: self.cold, slots: self.slots, ..worker() }
     }
 
     /// The first leader offers attempt 1 of a message of the route "bulk".
--- a/crates/delivery/tests/worker_choice.rs
+++ b/crates/delivery/tests/worker_choice.rs
@@ -45,7 +45,7 @@
         draining: false,
         age: Span::secs(60),
         slots: 0,
-        cold: Span::ZERO,
+        remaining_warm_up: Span::ZERO,
     }
 }
 
--- a/crates/disk/tests/power_loss/main.rs
+++ b/crates/disk/tests/power_loss/main.rs
@@ -34,9 +34,9 @@
     let mut events = Vec::new();
     for effect in effects {
         match effect {
-            Effect::Save { n, name, bytes } => {
+            Effect::Save { number, name, bytes } => {
                 retry_write(directory, || folder.claim_ownership().and_then(|()| folder.save(name, bytes)))?;
-                events.push(Event::Saved(*n));
+                events.push(Event::Saved(*number));
             }
             Effect::Remove(name) => retry_write(directory, || folder.remove(name))?,
             _ => {}
--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -139,7 +139,7 @@
                 }
                 directory.fail_writes(random.below(2));
                 let ops = self.ops[first as usize - 1..].to_vec();
-                let append = PeerMessage::Append { partition: partition(), epoch: EPOCH, first, ops };
+                let append = PeerMessage::Append { partition: partition(), epoch: EPOCH, first_op: first, ops };
                 has_power = self.deliver(directory, &folder, &mut store, append);
             }
         }
--- a/crates/ingest/tests/posts.rs
+++ b/crates/ingest/tests/posts.rs
@@ -71,8 +71,13 @@
 
 /// The store answers a copy.
 fn answer(p: &mut Proxy, copy: &(u64, Daemon, MessageId), outcome: SubmitOutcome, now: Time) -> Vec<Effect> {
-    let msg =
-        PeerMessage::SubmitResponse { request_id: copy.0, proxy: Daemon("proxy-1".into()), via: None, outcome, clock: None };
+    let msg = PeerMessage::SubmitResponse {
+        request_id: copy.0,
+        proxy: Daemon("proxy-1".into()),
+        relayed_by: None,
+        outcome,
+        clock: None,
+    };
     p.step(Event::MessageReceived { from: copy.1.clone(), message: msg }, now)
 }
 
@@ -201,7 +206,7 @@
     let msg = PeerMessage::SubmitResponse {
         request_id: probe[0].0,
         proxy: Daemon("proxy-1".into()),
-        via: None,
+        relayed_by: None,
         outcome: SubmitOutcome::NotLeader,
         clock,
     };
--- a/crates/placement/src/hard_files.rs
+++ b/crates/placement/src/hard_files.rs
@@ -79,7 +79,7 @@
         self.newest_version += 1;
         self.running_save = Some(save_id);
         let name = file_name(self.newest_version);
-        out.push(Effect::Save { n: save_id, name: name.clone(), bytes: Bytes::from(encode(state)) });
+        out.push(Effect::Save { number: save_id, name: name.clone(), bytes: Bytes::from(encode(state)) });
         // The shell carries these out after the save, in this order.
         out.extend(self.outdated_files.drain(..).map(Effect::Remove));
         self.outdated_files.push(name);
--- a/crates/placement/src/primary/departure.rs
+++ b/crates/placement/src/primary/departure.rs
@@ -60,6 +60,6 @@
         let mut partitions = self.committed.layout.iter().filter(|(_, set)| has_seat(set)).map(|(partition, _)| partition);
         let wait =
             partitions.any(|partition| self.phase != PrimaryPhase::Serving || self.wanted_replacement(partition, now).is_some());
-        self.send(store, PeerMessage::Departure { term: self.election.term(), wait });
+        self.send(store, PeerMessage::Departure { term: self.election.term(), must_wait: wait });
     }
 }
--- a/crates/placement/src/primary/numbered_config.rs
+++ b/crates/placement/src/primary/numbered_config.rs
@@ -15,7 +15,7 @@
 pub(super) fn order_kind(is_patch: bool) -> OrderKind {
     match is_patch {
         true => OrderKind::Patch,
-        false => OrderKind::Whole,
+        false => OrderKind::Full,
     }
 }
 
--- a/crates/placement/src/primary/target_shards.rs
+++ b/crates/placement/src/primary/target_shards.rs
@@ -46,7 +46,7 @@
     pub(super) fn known_and_claimed_duties(&self) -> BTreeSet<Duty> {
         let reports = || self.daemons.values().filter_map(|s| s.report.as_ref());
         let claimed = reports().flat_map(|r| r.claims.iter().map(|c| &c.duty));
-        let seen = reports().flat_map(|r| r.seen.iter().map(|s| &s.0));
+        let seen = reports().flat_map(|r| r.last_seen_holders.iter().map(|s| &s.0));
         let reported = claimed.chain(seen).filter(|d| self.is_valid_duty(d));
         self.duties.iter().chain(reported).cloned().collect()
     }
--- a/crates/placement/tests/fleet/mod.rs
+++ b/crates/placement/tests/fleet/mod.rs
@@ -230,7 +230,7 @@
                 Effect::Send(to, PeerMessage::PullResponse { requested_at, term, updates, grants, .. }) => {
                     self.receive_updates(&to, requested_at, term, updates, grants)
                 }
-                Effect::Send(to, PeerMessage::Departure { wait, .. }) => {
+                Effect::Send(to, PeerMessage::Departure { must_wait: wait, .. }) => {
                     if let Some(fake) = self.fakes.get_mut(&to) {
                         fake.told_to_wait = Some(wait);
                     }
@@ -238,9 +238,9 @@
                 Effect::Save { .. } | Effect::Remove(_) if self.blocked_disks.contains_key(id) => {
                     self.blocked_disks.entry(id.clone()).or_default().push(e);
                 }
-                Effect::Save { n, name, bytes } => {
+                Effect::Save { number, name, bytes } => {
                     self.disks.entry(id.clone()).or_default().insert(name, bytes);
-                    self.queue.push_back((id.clone(), Event::Saved(n)));
+                    self.queue.push_back((id.clone(), Event::Saved(number)));
                 }
                 Effect::Remove(name) => {
                     self.disks.entry(id.clone()).or_default().remove(&name);
--- a/crates/placement/tests/operations.rs
+++ b/crates/placement/tests/operations.rs
@@ -25,7 +25,7 @@
 }
 
 fn numbered(base: u64) -> OperationId {
-    OperationId::numbered(OrderKind::Whole, base, &format!("words on {base}"))
+    OperationId::numbered(OrderKind::Full, base, &format!("words on {base}"))
 }
 
 fn recorded(count: u64) -> Operations {
@@ -38,17 +38,17 @@
 
 #[test]
 fn orders_differ_by_kind_base_and_text() {
-    let one = OperationId::numbered(OrderKind::Whole, 7, "words");
-    assert_eq!(one, OperationId::numbered(OrderKind::Whole, 7, "words"));
+    let one = OperationId::numbered(OrderKind::Full, 7, "words");
+    assert_eq!(one, OperationId::numbered(OrderKind::Full, 7, "words"));
     assert_ne!(one, OperationId::numbered(OrderKind::Patch, 7, "words"));
-    assert_ne!(one, OperationId::numbered(OrderKind::Whole, 8, "words"));
-    assert_ne!(one, OperationId::numbered(OrderKind::Whole, 7, "words "));
+    assert_ne!(one, OperationId::numbered(OrderKind::Full, 8, "words"));
+    assert_ne!(one, OperationId::numbered(OrderKind::Full, 7, "words "));
 }
 
 #[test]
 fn the_digest_is_sha_256() {
     // The input is 'w' for a whole configuration, the base 7 in eight bytes, and "abc".
-    let digest = OrderDigest::of(OrderKind::Whole, 7, "abc").to_string();
+    let digest = OrderDigest::of(OrderKind::Full, 7, "abc").to_string();
     assert_eq!(digest, "6d31ace3b0b05e9b9d0e60ad6b85b8cafbf140641ff997d46b979c462462b5fb");
 }
 
@@ -73,7 +73,7 @@
     }
     for base in [oldest, count - 1] {
         assert_eq!(operations.status(&numbered(base), None), OperationStatus::Done(version(1, base + 1)), "base {base}");
-        let other = OperationId::numbered(OrderKind::Whole, base, "other words");
+        let other = OperationId::numbered(OrderKind::Full, base, "other words");
         assert_eq!(operations.status(&other, None), OperationStatus::NotDone, "base {base}");
     }
 }
@@ -115,7 +115,7 @@
     }
     assert_eq!(state.operations.status(&numbered(9), None), OperationStatus::NotDone);
     let named = OperationId::Named("by-hand".into());
-    let request = Some(OrderDigest::of(OrderKind::Whole, 0, "words"));
+    let request = Some(OrderDigest::of(OrderKind::Full, 0, "words"));
     assert_eq!(state.operations.status(&named, request), OperationStatus::Unknown);
     assert_eq!(PlacementState::read(&encode(&state)), Some(state));
 }
--- a/crates/placement/tests/pages.rs
+++ b/crates/placement/tests/pages.rs
@@ -11,7 +11,7 @@
         draining: false,
         age: Span::ZERO,
         slots: 6,
-        cold: Span::millis(cold),
+        remaining_warm_up: Span::millis(cold),
     }
 }
 
@@ -65,11 +65,13 @@
     f.run(1_000);
     f.add("delivery-2", "z1");
     f.run(450);
-    let late =
-        f.fakes[&daemon("delivery-2")]
-            .updates
-            .iter()
-            .find_map(|i| if let Update::Workers(w) = i { Some(w[0].cold) } else { None });
+    let late = f.fakes[&daemon("delivery-2")].updates.iter().find_map(|i| {
+        if let Update::Workers(w) = i {
+            Some(w[0].remaining_warm_up)
+        } else {
+            None
+        }
+    });
     assert!(late.unwrap() <= Span::millis(1_000), "{late:?}");
 }
 
@@ -138,7 +140,7 @@
     answer_next_call(&mut f, page(&[worker("i-1", 3_000)], None));
     let all = received_lists(&mut f);
     assert_eq!(all.len(), 2);
-    assert!(all[1][0].cold > Span::millis(2_000));
+    assert!(all[1][0].remaining_warm_up > Span::millis(2_000));
     // A worker that is first seen on a later list is young; draining is a change.
     answer_next_call(&mut f, page(&[worker("i-1", 0), worker("i-2", 0)], None));
     let all = received_lists(&mut f);
--- a/crates/placement/tests/reach.rs
+++ b/crates/placement/tests/reach.rs
@@ -140,7 +140,7 @@
         draining: false,
         age: Span::ZERO,
         slots: 6,
-        cold: Span::ZERO,
+        remaining_warm_up: Span::ZERO,
     };
     let (_, caller, call, _) = f.calls.pop().unwrap();
     f.step(&caller, Event::CallFinished(call, CallResult::WorkerList(ListPage { workers: vec![worker], next: None })));
--- a/crates/queue/src/journal.rs
+++ b/crates/queue/src/journal.rs
@@ -318,7 +318,7 @@
         let (bytes, locations) = encode_segment(entries, first, n);
         self.body_locations.extend(locations);
         self.segments.push_back(Segment { first, last: n, live_records, bytes: bytes.len() as u64 });
-        out.push(Effect::Save { n, name: segment_name(first, n), bytes: Bytes::from(bytes) });
+        out.push(Effect::Save { number: n, name: segment_name(first, n), bytes: Bytes::from(bytes) });
     }
     /// Saves the pending entries unless a save is in progress; true when it did.
     pub fn flush(&mut self, out: &mut Vec<Effect>) -> bool {
--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -34,7 +34,7 @@
                 self.to_replicate.insert(partition.clone());
             }
         }
-        self.send(backup, PeerMessage::Append { partition: partition.clone(), epoch, first: sent + 1, ops });
+        self.send(backup, PeerMessage::Append { partition: partition.clone(), epoch, first_op: sent + 1, ops });
     }
 
     pub(super) fn on_append(
--- a/crates/queue/tests/bounded_copies.rs
+++ b/crates/queue/tests/bounded_copies.rs
@@ -77,7 +77,7 @@
     fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Save { n, .. } => self.step(Event::Saved(n)),
+                Effect::Save { number: n, .. } => self.step(Event::Saved(n)),
                 Effect::Send(_, PeerMessage::FetchCopy { partition, request: Some(request), .. }) => {
                     self.requests.push_back((partition, request))
                 }
--- a/crates/queue/tests/copy_fetch.rs
+++ b/crates/queue/tests/copy_fetch.rs
@@ -50,7 +50,7 @@
     fn step(&mut self, event: Event) {
         for effect in self.core.step(event, self.now) {
             match effect {
-                Effect::Save { n, .. } => self.step(Event::Saved(n)),
+                Effect::Save { number: n, .. } => self.step(Event::Saved(n)),
                 Effect::Send(_, PeerMessage::Appended { up_to, .. }) => self.acknowledged.push(up_to),
                 Effect::Send(_, message @ (PeerMessage::FetchCopy { .. } | PeerMessage::FetchBodies { .. })) => {
                     self.requests.push(message)
@@ -65,7 +65,7 @@
     }
 
     fn append(&mut self, first: u64, op: PartitionOp) {
-        self.receive(PeerMessage::Append { partition: partition(), epoch: EPOCH, first, ops: vec![op] });
+        self.receive(PeerMessage::Append { partition: partition(), epoch: EPOCH, first_op: first, ops: vec![op] });
     }
 
     fn partition_replica(&self) -> &dw_queue::partition_replica::PartitionReplica {
--- a/crates/queue/tests/departure.rs
+++ b/crates/queue/tests/departure.rs
@@ -57,10 +57,10 @@
                     self.step(Event::MessageReceived { from: to.clone(), message: response });
                     self.stopping_reports += usize::from(report.stopping);
                     if let (true, Placement::Answers { wait, term }) = (report.stopping, self.placement) {
-                        self.step(Event::MessageReceived { from: to, message: PeerMessage::Departure { term, wait } });
+                        self.step(Event::MessageReceived { from: to, message: PeerMessage::Departure { term, must_wait: wait } });
                     }
                 }
-                Effect::Save { n, .. } => self.step(Event::Saved(n)),
+                Effect::Save { number: n, .. } => self.step(Event::Saved(n)),
                 Effect::Exit => _ = self.exited_after.get_or_insert(self.now.since(self.stop_requested)),
                 _ => {}
             }
@@ -125,7 +125,7 @@
     store.handle_effects(out);
     store.step(Event::MessageReceived {
         from: daemon("placement-1"),
-        message: PeerMessage::Departure { term: TERM, wait: false },
+        message: PeerMessage::Departure { term: TERM, must_wait: false },
     });
     store.run(Span::secs(7));
     assert_eq!((store.exited_after, store.stopping_reports), (None, 0));
--- a/crates/queue/tests/leader_change.rs
+++ b/crates/queue/tests/leader_change.rs
@@ -50,7 +50,7 @@
     let message = PeerMessage::Lookup {
         request_id: 9,
         proxy: daemon("proxy-1"),
-        via: None,
+        relayed_by: None,
         partition: partition(),
         id: id(),
         with_body: false,
--- a/crates/queue/tests/loaded_stores/mod.rs
+++ b/crates/queue/tests/loaded_stores/mod.rs
@@ -286,8 +286,8 @@
         for effect in out {
             match effect {
                 Effect::Log(event, _) => self.log_events.push(event),
-                Effect::Load { n, .. } => self.queue.push_back((id.clone(), Event::Loaded(n, None))),
-                Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
+                Effect::Load { number: n, .. } => self.queue.push_back((id.clone(), Event::Loaded(n, None))),
+                Effect::Save { number: n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 Effect::Send(_, PeerMessage::Pull { requested_at, report, .. }) => self.answer_pull(id, requested_at, report),
                 Effect::Send(_, PeerMessage::Offers { entries, .. }) => self.in_flight.extend(entries),
                 Effect::Send(_, PeerMessage::SubmitResponse { request_id, outcome: SubmitOutcome::Accepted { .. }, .. }) => {
@@ -369,7 +369,7 @@
         let message = PeerMessage::Submit {
             request_id: number,
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: true,
             partition: partition(),
             version: Version { term: TERM, count: 1 },
--- a/crates/queue/tests/replacement.rs
+++ b/crates/queue/tests/replacement.rs
@@ -98,7 +98,7 @@
                 Effect::Send(to, message) if self.cores.contains_key(&to) => {
                     self.queue.push_back((to, Event::MessageReceived { from: id.clone(), message }));
                 }
-                Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
+                Effect::Save { number: n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
             }
         }
@@ -157,7 +157,7 @@
         let message = PeerMessage::Submit {
             request_id,
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: false,
             partition: partition(),
             version: Version::ZERO,
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -62,7 +62,7 @@
                         false => self.queue.push_back((to, event)),
                     }
                 }
-                Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
+                Effect::Save { number: n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
             }
         }
@@ -155,7 +155,7 @@
         let message = PeerMessage::Submit {
             request_id: u64::from(number),
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: false,
             partition: Rules::spool_partition(number),
             version: Version::ZERO,
--- a/crates/queue/tests/store_pair/mod.rs
+++ b/crates/queue/tests/store_pair/mod.rs
@@ -59,7 +59,7 @@
         let out = self.cores[at].step(event, self.now);
         for effect in out {
             match effect {
-                Effect::Save { n, name, bytes } => {
+                Effect::Save { number: n, name, bytes } => {
                     self.files[at].insert(name, bytes);
                     self.step(at, Event::Saved(n));
                 }
@@ -134,7 +134,7 @@
         let message = PeerMessage::Submit {
             request_id: 1,
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: true,
             partition: partition(),
             version: Version { term: TERM, count: 1 },
--- a/crates/queue/tests/three_stores/mod.rs
+++ b/crates/queue/tests/three_stores/mod.rs
@@ -152,7 +152,7 @@
                     let message = self.pull_response(requested_at, from);
                     self.queue.push_back((from.clone(), Event::MessageReceived { from: to, message }));
                 }
-                Effect::Save { n, .. } => match &mut self.disks.get_mut(from).unwrap().unfinished_saves {
+                Effect::Save { number: n, .. } => match &mut self.disks.get_mut(from).unwrap().unfinished_saves {
                     Some(unfinished_saves) => unfinished_saves.push(n),
                     None => self.queue.push_back((from.clone(), Event::Saved(n))),
                 },
@@ -211,7 +211,7 @@
         let message = PeerMessage::Submit {
             request_id,
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: false,
             partition: partition(),
             version: Version { term: TERM, count: 1 },
--- a/crates/scale/src/axes/reports.rs
+++ b/crates/scale/src/axes/reports.rs
@@ -49,9 +49,9 @@
         let places = (0..n).map(|i| (place(i), PartitionLocation { leader: leader.clone(), epoch })).collect();
         let all = [
             ("a delivery's claims", need(Report { claims, ..Report::default() })),
-            ("a store's claims and counts", need(Report { claims: kept, held, ..Report::default() })),
-            ("a store's evidence of holders", need(Report { seen, ..Report::default() })),
-            ("a delivery's assigned places", need(Report { assigned, ..Report::default() })),
+            ("a store's claims and counts", need(Report { claims: kept, message_counts: held, ..Report::default() })),
+            ("a store's evidence of holders", need(Report { last_seen_holders: seen, ..Report::default() })),
+            ("a delivery's assigned places", need(Report { partition_leaders: assigned, ..Report::default() })),
             (
                 "a delivery's grants",
                 news(Vec::new(), (0..n).map(|i| grant(Duty::Endpoint(format!("destination-{i:07}")), Vec::new())).collect()),
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -244,7 +244,7 @@
         for e in effects.drain(..) {
             match e {
                 Effect::Send(to, msg) => gone += self.say(at, to, msg),
-                Effect::Save { n, name, bytes } => {
+                Effect::Save { number: n, name, bytes } => {
                     let node = &mut self.nodes[at];
                     node.meter.saved_files += 1;
                     node.meter.saved_bytes += bytes.len() as u64;
@@ -256,7 +256,7 @@
                     self.nodes[at].disk.remove(&name);
                     gone += freed(name);
                 }
-                Effect::Load { n, name, at: from, len } => {
+                Effect::Load { number: n, name, offset: from, len } => {
                     let (from, to) = (from as usize, from as usize + len as usize);
                     let got = self.nodes[at].disk.get(&name).and_then(|b| b.get(from..to)).map(Bytes::copy_from_slice);
                     gone += freed(name);
--- a/crates/sim/src/floor.rs
+++ b/crates/sim/src/floor.rs
@@ -193,7 +193,7 @@
             draining: w.draining,
             age: Span::ZERO,
             slots: trade(&w.service).slots,
-            cold: w.cold_until.remaining(now),
+            remaining_warm_up: w.cold_until.remaining(now),
         });
         let new = new.collect();
         self.shown = std::mem::replace(&mut self.taking, new);
--- a/crates/sim/src/world/processes.rs
+++ b/crates/sim/src/world/processes.rs
@@ -110,9 +110,9 @@
                     let life = self.nodes.get(&to).map_or(0, |n| n.life);
                     self.at(at, Ev::Frame { to, from: id.clone(), msg: Box::new(msg), life });
                 }
-                Effect::Save { n, name, bytes } => self.job(id, Job::Save(n, name, bytes)),
+                Effect::Save { number, name, bytes } => self.job(id, Job::Save(number, name, bytes)),
                 Effect::Remove(name) => self.job(id, Job::Remove(name)),
-                Effect::Load { n, name, at, len } => self.job(id, Job::Load(n, name, at, len)),
+                Effect::Load { number, name, offset, len } => self.job(id, Job::Load(number, name, offset, len)),
                 Effect::Respond(ask, v) => {
                     if let Some(n) = self.nodes.get_mut(id) {
                         n.asks.remove(&ask);
--- a/crates/sim/src/world/running.rs
+++ b/crates/sim/src/world/running.rs
@@ -41,7 +41,7 @@
                 let Some(w) = self.floor.lives.get(&at).filter(|w| w.up) else {
                     return self.reply_soon(&node, life, id, CallResult::Failed(SendState::NotSent));
                 };
-                let reply = CallResult::Health { well: !w.draining, worker: Some(WorkerId(at.clone())), load: Some(load(w)) };
+                let reply = CallResult::Health { healthy: !w.draining, worker: Some(WorkerId(at.clone())), load: Some(load(w)) };
                 self.count("probes", 1);
                 self.reply_soon(&node, life, id, reply)
             }
--- a/crates/sim/tests/routed.rs
+++ b/crates/sim/tests/routed.rs
@@ -265,7 +265,7 @@
 #[test]
 fn a_cold_worker_taken_for_a_warm_one_is_caught() {
     let b: Breakage = |e, _| {
-        listed(e, |w| w.cold = Span::ZERO);
+        listed(e, |w| w.remaining_warm_up = Span::ZERO);
         alter_config_updates(e, "\"cold_rate\":6.0", "\"cold_rate\":600.0");
         false
     };
--- a/crates/wire/src/operation.rs
+++ b/crates/wire/src/operation.rs
@@ -7,7 +7,7 @@
 /// Whether an order brings a whole configuration or changes parts of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    Whole,
+    Full,
     Patch,
 }
 
@@ -18,7 +18,7 @@
 impl OrderDigest {
     pub fn of(kind: OrderKind, base: u64, words: &str) -> OrderDigest {
         let kind = match kind {
-            OrderKind::Whole => b'w',
+            OrderKind::Full => b'w',
             OrderKind::Patch => b'p',
         };
         let mut hasher = Sha256::new();
