--- a/crates/wire/src/compressed_text.rs
+++ b/crates/wire/src/compressed_text.rs
@@ -1,11 +1,11 @@
 //! A long text that is compressed once and sent to many daemons.
 use crate::prelude::*;
 
-/// Zstandard's usual level.
-const LEVEL: i32 = 3;
+/// Zstandard's default level.
+const COMPRESSION_LEVEL: i32 = 3;
 
-/// A text compressed with Zstandard, and its length. Configurations name the
-/// same fields for each route and service, so they shrink to a small part.
+/// A text compressed with Zstandard, and its original length in bytes. Configurations
+/// repeat the same field names for each route and service, so they compress well.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompressedText {
     length: usize,
@@ -13,15 +13,15 @@
 }
 
 impl CompressedText {
-    /// `None` if it can't be compressed; it is sent as it is then.
+    /// Compresses a text; `None` if that fails. The text is sent uncompressed then.
     pub fn of(text: &str) -> Option<CompressedText> {
-        let bytes = zstd::bulk::compress(text.as_bytes(), LEVEL).ok()?;
+        let bytes = zstd::bulk::compress(text.as_bytes(), COMPRESSION_LEVEL).ok()?;
         Some(CompressedText { length: text.len(), bytes: bytes.into() })
     }
 
-    /// The text, unless it is longer than `most` bytes or is no text.
-    pub fn read(&self, most: usize) -> Option<String> {
-        if self.length > most {
+    /// The original text; `None` if it is longer than `max_bytes` or can't be restored.
+    pub fn read(&self, max_bytes: usize) -> Option<String> {
+        if self.length > max_bytes {
             return None;
         }
         let bytes = zstd::bulk::decompress(&self.bytes, self.length).ok()?;
@@ -29,7 +29,7 @@
         String::from_utf8(bytes).ok()
     }
 
-    /// How many bytes are sent.
+    /// The compressed size in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/wire/src/copy.rs
+++ b/crates/wire/src/copy.rs
@@ -1,48 +1,50 @@
-//! A whole copy of a partition, asked for and sent in parts.
+//! A complete copy of a partition, which a replica fetches in parts, in the order of
+//! the message ids.
 //!
-//! Invariant: after each part the receiver holds exactly what the source held at
-//! one operation, of the records up to one name. Whatever changes among these
-//! while the copy is on its way comes as operations with the next part.
+//! Invariant: after each part, the receiver's records up to the last received id are
+//! exactly those that the source had after one operation. If any of them changes
+//! during the transfer, the operations that changed it are in the next part.
 use crate::prelude::*;
 
-/// How far a copy has come.
+/// The progress of a copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyPosition {
     /// The last record received.
     #[serde(rename = "after")]
     pub last_id: MessageId,
-    /// The operation at which the records up to it stand.
+    /// The operation after which the source had these records.
     #[serde(rename = "n")]
     pub last_op: u64,
 }
 
-/// Asks for the next part.
+/// A request for the next part of a copy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyRequest {
-    /// `None` before the first record.
+    /// Where the next part continues; `None` before the first record.
     pub position: Option<CopyPosition>,
-    /// Received records whose bytes are lacking.
+    /// Received records whose bodies are missing.
     pub wanted: Vec<MessageId>,
 }
 
 /// The next part of a copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CopyPart {
-    /// Where it goes on; `None` when it begins, or begins anew because the
-    /// source no longer keeps the operations since the position asked from.
+    /// The position that the part continues from. `None` if the copy starts, or starts
+    /// again because the source no longer has the operations since the requested
+    /// position.
     pub from: Option<CopyPosition>,
-    /// Operations since then on records up to there, in order.
+    /// The operations since `from` on the records up to its id, in order.
     pub ops: Vec<PartitionOp>,
-    /// Bytes that were asked for, of those records that still have them.
+    /// The requested bodies, as far as the records still have them.
     pub bodies: Vec<(MessageId, Bytes)>,
-    /// The next records, by name, without their bytes.
+    /// The next records, ordered by id, without bodies.
     pub records: Vec<(MessageHeader, Stage)>,
-    /// The operation at which all of this stands.
+    /// The source's last operation when it sent the part.
     #[serde(rename = "n")]
     pub last_op: u64,
-    /// The next place in the partition's order.
+    /// The sequence number that the partition's next message gets.
     #[serde(rename = "next")]
     pub next_seq: u64,
-    /// No records come after these.
+    /// These are the last records.
     pub complete: bool,
 }
--- a/crates/wire/src/log_event.rs
+++ b/crates/wire/src/log_event.rs
@@ -1,4 +1,5 @@
-//! Numbered events. The catalogue is docs/events.md; a test checks that both agree.
+//! The numbered log events. They are listed in docs/events.md; a test checks that both
+//! agree.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
@@ -8,14 +9,14 @@
 }
 
 macro_rules! log_events {
-    ($($name:ident = $num:literal $level:ident $what:literal;)*) => {
+    ($($name:ident = $number:literal $level:ident $description:literal;)*) => {
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum LogEvent { $($name = $num,)* }
+        pub enum LogEvent { $($name = $number,)* }
         impl LogEvent {
             pub const ALL: &'static [LogEvent] = &[$(LogEvent::$name,)*];
             pub fn number(self) -> u16 { self as u16 }
             pub fn level(self) -> Level { match self { $(LogEvent::$name => Level::$level,)* } }
-            pub fn description(self) -> &'static str { match self { $(LogEvent::$name => $what,)* } }
+            pub fn description(self) -> &'static str { match self { $(LogEvent::$name => $description,)* } }
         }
     };
 }
--- a/crates/wire/src/operation.rs
+++ b/crates/wire/src/operation.rs
@@ -1,30 +1,31 @@
-//! Identities of operators' orders, by which a repeated order is recognised.
+//! Identities of operators' requests, by which a repeated request is recognised.
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
 
-/// Whether an order brings a whole configuration or changes parts of one.
+/// Whether a request contains a complete configuration or a patch of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
     Full,
     Patch,
 }
 
-/// The SHA-256 digest of an order: its kind, its base and its exact words.
+/// The SHA-256 digest of a request: its kind, its base and its exact text.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderDigest([u8; 32]);
 
 impl OrderDigest {
-    pub fn of(kind: OrderKind, base: u64, words: &str) -> OrderDigest {
-        let kind = match kind {
+    /// The digest of a request with the text `json`, based on revision `base`.
+    pub fn of(kind: OrderKind, base: u64, json: &str) -> OrderDigest {
+        let kind_byte = match kind {
             OrderKind::Full => b'w',
             OrderKind::Patch => b'p',
         };
         let mut hasher = Sha256::new();
-        hasher.update([kind]);
+        hasher.update([kind_byte]);
         hasher.update(base.to_be_bytes());
-        hasher.update(words.as_bytes());
+        hasher.update(json.as_bytes());
         OrderDigest(hasher.finalize().into())
     }
 }
@@ -68,22 +69,22 @@
     }
 }
 
-/// What makes an order the same as another one.
+/// The identity of a request: two requests with the same id are the same request.
 ///
-/// The earlier form was always a text; it is read as `Named`.
+/// Earlier versions stored every id as a text; such an id is read as `Named`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum OperationId {
-    /// Chosen by its operator.
+    /// An id that the operator chose.
     Named(String),
     /// A numbered configuration: the revision it builds on, and its digest.
     Numbered(u64, OrderDigest),
 }
 
 impl OperationId {
-    /// The identity of a numbered configuration.
-    pub fn numbered(kind: OrderKind, base: u64, words: &str) -> OperationId {
-        OperationId::Numbered(base, OrderDigest::of(kind, base, words))
+    /// The id of a numbered configuration with the text `json`.
+    pub fn numbered(kind: OrderKind, base: u64, json: &str) -> OperationId {
+        OperationId::Numbered(base, OrderDigest::of(kind, base, json))
     }
 }
 
--- a/crates/wire/src/tolerance.rs
+++ b/crates/wire/src/tolerance.rs
@@ -17,11 +17,11 @@
 }
 
 impl Tolerance {
-    /// How many of `available` machines replicate what must survive these
-    /// losses: a majority of them is left after as many as may be lost. Three
-    /// at least.
+    /// How many of the `available` machines should replicate data that must survive
+    /// these failures: a majority remains after the tolerated number of machines has
+    /// failed, or after as many as `available` allows. At least three.
     pub fn replicas(&self, available: usize) -> usize {
-        let borne = available.saturating_sub(1) / 2;
-        2 * self.machines.clamp(1, borne.max(1)) + 1
+        let max_tolerable = available.saturating_sub(1) / 2;
+        2 * self.machines.clamp(1, max_tolerable.max(1)) + 1
     }
 }
--- a/crates/wire/tests/offer.rs
+++ b/crates/wire/tests/offer.rs
@@ -1,7 +1,8 @@
-//! An attempt lasts no longer than its leader counts on.
+//! The timeout of an attempt is never longer than the one that the leader relies on,
+//! also if the delivery daemon has another configuration.
 use dw_wire::prelude::*;
 
-fn offer(limit: Span) -> Offer {
+fn offer(timeout: Span) -> Offer {
     Offer {
         duty: Duty::TargetShard(String::new()),
         partition: PartitionId { tenant: "~".into(), queue: "spool".into(), number: 0 },
@@ -11,26 +12,26 @@
         attempt: 1,
         body: Bytes::new(),
         destination: None,
-        timeout: limit,
+        timeout,
     }
 }
 
 #[test]
-fn a_longer_attempt_by_a_newer_config_is_cut_to_the_leaders() {
+fn a_longer_configured_timeout_is_cut_to_the_leaders() {
     assert_eq!(offer(Span::secs(1)).attempt_timeout(Span::secs(2)), Span::secs(1));
 }
 
 #[test]
-fn a_shorter_attempt_by_a_newer_config_holds() {
+fn a_shorter_configured_timeout_is_used() {
     assert_eq!(offer(Span::secs(2)).attempt_timeout(Span::secs(1)), Span::secs(1));
 }
 
 #[test]
-fn a_leader_that_does_not_say_leaves_it_to_the_config() {
+fn the_configured_timeout_is_used_if_the_leader_sends_none() {
     assert_eq!(offer(Span::ZERO).attempt_timeout(Span::secs(1)), Span::secs(1));
 }
 
 #[test]
-fn a_route_that_is_not_in_force_stays_so() {
+fn the_timeout_stays_zero_for_a_route_that_is_not_configured() {
     assert_eq!(offer(Span::secs(1)).attempt_timeout(Span::ZERO), Span::ZERO);
 }
