--- a/crates/delivery/src/run/capacity.rs
+++ b/crates/delivery/src/run/capacity.rs
@@ -16,7 +16,7 @@
         match duty {
             Duty::Lead(_) | Duty::TargetShard(_) => 0,
             Duty::Deliver(partition) => {
-                let Some(rule) = self.link.rules.rule_of(partition) else { return 0 };
+                let Some(rule) = self.link.rules.rule_for_partition(partition) else { return 0 };
                 let Target::Workers(service) = &rule.target else { return 0 };
                 let max_slots = self.service_slots(service);
                 let usable_workers =
@@ -30,12 +30,13 @@
                     .copied()
                     .or_else(|| self.slot_ranges_of(service).first().copied())
                     .unwrap_or_default();
-                let own_slots: u32 = usable_workers().map(|w| range.of(w.warm_up.slots(max_slots, now), w.slot_rounding)).sum();
+                let own_slots: u32 =
+                    usable_workers().map(|w| range.slot_count(w.warm_up.slots(max_slots, now), w.slot_rounding)).sum();
                 // Twice what can run, so that a free slot never waits for a network round trip.
                 (own_slots * 2).clamp(1, 64)
             }
             Duty::Endpoint(name) => {
-                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.slots);
+                let slots = self.link.rules.endpoints.get(name).map_or(1, |e| e.max_open_requests);
                 let Some(endpoint) = self.endpoints.get_mut(name) else { return 0 };
                 if endpoint.breaker.is_open(now) {
                     return 0;
--- a/crates/placement/src/primary/target_shards.rs
+++ b/crates/placement/src/primary/target_shards.rs
@@ -28,7 +28,7 @@
     /// shards of every zone in which a member or a listed worker is.
     pub(super) fn update_duties(&mut self) {
         let mut all = self.rules.duties();
-        if self.rules.spool > 0 {
+        if self.rules.spool_partitions > 0 {
             let members = self.committed.members.values().map(|m| &m.zone);
             let zones: BTreeSet<&Zone> = members.chain(self.worker_list.workers.iter().map(|w| &w.zone)).collect();
             all.extend(Duty::unlisted_address_shards());
@@ -40,13 +40,13 @@
     /// a failover finds all duties that are held.
     pub(super) fn is_valid_duty(&self, duty: &Duty) -> bool {
         let is_zone_shard = || own_zone(duty).is_some_and(|z| Duty::worker_shards_in(&z).any(|d| d == *duty));
-        self.duties.contains(duty) || self.rules.spool > 0 && is_zone_shard()
+        self.duties.contains(duty) || self.rules.spool_partitions > 0 && is_zone_shard()
     }
     /// The duties that exist, and those target shards that any daemon reports.
     pub(super) fn known_and_claimed_duties(&self) -> BTreeSet<Duty> {
         let reports = || self.daemons.values().filter_map(|s| s.report.as_ref());
         let claimed = reports().flat_map(|r| r.claims.iter().map(|c| &c.duty));
-        let seen = reports().flat_map(|r| r.seen.iter().map(|s| &s.0));
+        let seen = reports().flat_map(|r| r.last_seen_holders.iter().map(|s| &s.0));
         let reported = claimed.chain(seen).filter(|d| self.is_valid_duty(d));
         self.duties.iter().chain(reported).cloned().collect()
     }
--- a/crates/queue/src/journal.rs
+++ b/crates/queue/src/journal.rs
@@ -83,7 +83,9 @@
 /// the entry that put the record.
 #[derive(Clone, Debug)]
 struct Segment {
+    /// The number of its first save.
     first: u64,
+    /// The number of its last save.
     last: u64,
     /// Records whose body is in this segment.
     live_records: u64,
@@ -260,6 +262,7 @@
     pub fn segment_count(&self) -> usize {
         self.segments.len()
     }
+    /// The first save of the oldest segment.
     pub fn oldest_save(&self) -> u64 {
         self.segments.front().map_or(self.next_save, |f| f.first)
     }
@@ -318,7 +321,7 @@
         let (bytes, locations) = encode_segment(entries, first, n);
         self.body_locations.extend(locations);
         self.segments.push_back(Segment { first, last: n, live_records, bytes: bytes.len() as u64 });
-        out.push(Effect::Save { n, name: segment_name(first, n), bytes: Bytes::from(bytes) });
+        out.push(Effect::Save { number: n, name: segment_name(first, n), bytes: Bytes::from(bytes) });
     }
     /// Saves the pending entries unless a save is in progress; true when it did.
     pub fn flush(&mut self, out: &mut Vec<Effect>) -> bool {
--- a/crates/queue/tests/spread_backups.rs
+++ b/crates/queue/tests/spread_backups.rs
@@ -62,7 +62,7 @@
                         false => self.queue.push_back((to, event)),
                     }
                 }
-                Effect::Save { n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
+                Effect::Save { number: n, .. } => self.queue.push_back((id.clone(), Event::Saved(n))),
                 _ => {}
             }
         }
@@ -75,7 +75,7 @@
         let set: Vec<(Daemon, IncarnationId)> = members.iter().map(|m| (m.id.clone(), m.disk_id)).collect();
         let updates = vec![(version, Update::Members(members)), (version, Update::Config(CONFIG.to_string()))];
         let grant = |number: u32| Grant {
-            duty: Duty::Lead(Rules::spool_place(number)),
+            duty: Duty::Lead(Rules::spool_partition(number)),
             epoch: Epoch { term: Term(1), count: self.epoch },
             write_set: set.clone(),
             replacement: None,
@@ -155,9 +155,9 @@
         let message = PeerMessage::Submit {
             request_id: u64::from(number),
             proxy: daemon("proxy-1"),
-            via: None,
+            relayed_by: None,
             wants_refusal: false,
-            partition: Rules::spool_place(number),
+            partition: Rules::spool_partition(number),
             version: Version::ZERO,
             header,
             body,
