--- a/crates/disk/tests/power_loss/store.rs
+++ b/crates/disk/tests/power_loss/store.rs
@@ -119,7 +119,7 @@
         let (folder, files) = open(directory);
         self.incarnations += 1;
         let (mut store, effects) = Store::new(startup(), &files, IncarnationId(self.incarnations), Time(1));
-        store.ledger.compaction_threshold = 3;
+        store.journal.compaction_threshold = 3;
         self.check_state_read(&store)?;
         directory.supply_power_for(1 + random.below(120));
         if self.perform_all(directory, &folder, &mut store, effects) {
--- a/crates/queue/src/store/append.rs
+++ b/crates/queue/src/store/append.rs
@@ -60,7 +60,7 @@
             let (installed, n) = (part.installed_epoch, part.last_op);
             return self.send(&from, PeerMessage::AppendGap { partition, epoch, installed_epoch: installed, last_op: n });
         }
-        let file_version = self.ledger.next_save();
+        let file_version = self.journal.next_save();
         for (at, op) in ops.into_iter().enumerate() {
             let n = first + at as u64;
             if n <= part.last_op {
@@ -71,10 +71,10 @@
                     break;
                 }
             }
-            self.held_bytes += part.apply(&partition, &op, file_version, now, &mut self.ledger);
+            self.held_bytes += part.apply(&partition, &op, file_version, now, &mut self.journal);
             self.body_cache.insert_op(&partition, &op);
             part.last_op = n;
-            self.ledger.push(JournalEntry::Op { partition: partition.clone(), number: n, op });
+            self.journal.push(JournalEntry::Op { partition: partition.clone(), number: n, op });
         }
         let up_to = part.last_op;
         self.after_sync(SyncAction::AcknowledgeOps { to: from, partition, epoch, up_to });
--- a/crates/queue/src/store/attempt_ends.rs
+++ b/crates/queue/src/store/attempt_ends.rs
@@ -4,24 +4,24 @@
 
 impl Store {
     /// Handles attempts whose deadline passed without a result: their messages go on.
-    /// After a standstill of this process, the messages that wait unread are processed
+    /// After this process has stalled, the messages that wait unread are processed
     /// first, as they may contain the results.
     pub(super) fn expire_overdue_attempts(&mut self, partition: &PartitionId, now: Time) {
-        if self.standstill.is_catching_up(now) {
+        if self.stall_detector.is_catching_up(now) {
             return;
         }
         let Some(lead) = self.partitions.get_mut(partition).and_then(|part| part.leader_state.as_mut()) else { return };
         let mut expired = Vec::new();
-        for (seq, flight) in lead.queues.take_overdue(now) {
-            lead.overdue_attempts.record_overdue(flight.attempt, flight.deadline);
-            *self.unreported_in_a_row.entry(flight.duty.clone()).or_default() += 1;
-            expired.extend(lead.queues.ids.get(&seq).map(|id| (id.clone(), flight)));
+        for (seq, dispatched) in lead.queues.take_overdue(now) {
+            lead.overdue_attempts.record_overdue(dispatched.attempt, dispatched.deadline);
+            *self.unreported_in_a_row.entry(dispatched.duty.clone()).or_default() += 1;
+            expired.extend(lead.queues.ids.get(&seq).map(|id| (id.clone(), dispatched)));
         }
-        for (id, flight) in expired {
+        for (id, dispatched) in expired {
             self.counts.unreported_attempts += 1;
             self.log(
                 LogEvent::AttemptEndUnreported,
-                format!("{partition} {id} attempt {} at {}", flight.attempt, flight.delivery),
+                format!("{partition} {id} attempt {} at {}", dispatched.attempt, dispatched.delivery),
             );
             self.on_attempt_expired(partition, &id, now);
         }
@@ -62,7 +62,7 @@
     pub(super) fn log_late_success(&mut self, from: &Daemon, result: &AttemptResult, now: Time) {
         let Some(part) = self.partitions.get_mut(&result.partition) else { return };
         let Some(lead) = part.leader_state.as_mut() else { return };
-        let unread = self.standstill.max_read_delay(now);
+        let unread = self.stall_detector.max_read_delay(now);
         let Some(late) = lead.overdue_attempts.classify_success(result, lead.epoch, lead.hold_until, unread, now) else { return };
         let seq = part.records.get(&result.id).map(|record| record.header.seq);
         let current = seq.and_then(|seq| lead.queues.in_flight.get(&seq)).map(|f| f.attempt);
--- a/crates/queue/src/store/backups.rs
+++ b/crates/queue/src/store/backups.rs
@@ -7,7 +7,7 @@
 const BACKUP_TIMEOUT_LEASE_PERCENT: u64 = 30;
 /// A backup that lacks operations is sent them, or offered a copy, again after this.
 const BACKUP_RETRY_DELAY: Span = Span::millis(300);
-/// A store of the write set that needs a complete copy is told so again after this.
+/// A store of the write set that needs a complete copy is notified again after this.
 const SEAT_COPY_RETRY_DELAY: Span = Span::secs(1);
 const FENCE_RETRY_DELAY: Span = Span::secs(1);
 /// A backup in this zone is added at most once in this time.
@@ -105,7 +105,7 @@
     /// Replaces silent backups of the partitions where somebody waits for an operation to
     /// be committed.
     pub(super) fn replace_silent_backups(&mut self, now: Time) {
-        if self.standstill.is_catching_up(now) {
+        if self.stall_detector.is_catching_up(now) {
             return;
         }
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
@@ -233,7 +233,7 @@
     /// write set.
     fn check_backups(&mut self, partition: &PartitionId, now: Time) -> (Vec<Daemon>, Option<Daemon>) {
         let longest = self.startup.lease_terms.length.percent(BACKUP_TIMEOUT_LEASE_PERCENT);
-        let is_catching_up = self.standstill.is_catching_up(now);
+        let is_catching_up = self.stall_detector.is_catching_up(now);
         let (members, this_zone) = (&self.link.members, &self.startup.me.zone);
         let is_far = |d: &Daemon| members.get(d).is_some_and(|member| member.zone != *this_zone);
         let (mut to_copy, mut lost) = (Vec::new(), None);
--- a/crates/queue/src/store/departure.rs
+++ b/crates/queue/src/store/departure.rs
@@ -1,4 +1,4 @@
-//! A store that was told to stop.
+//! A store that was ordered to stop.
 //!
 //! It releases its partitions and exits once other stores lead them. Its copies may still
 //! be needed: placement says whether its seats in write sets are being moved, and until
--- a/crates/queue/src/store/posts.rs
+++ b/crates/queue/src/store/posts.rs
@@ -147,18 +147,19 @@
                 continue;
             }
             let claimed: BTreeSet<u64> = lead.reported_in_flight.values().flatten().copied().collect();
-            let quiet = lead.hold_until;
+            let hold_until = lead.hold_until;
             for due in lead.queues.routed.values_mut() {
-                let unclaimed = |entry: &(Time, u64)| entry.0 == quiet && !claimed.contains(&entry.1);
+                let unclaimed = |entry: &(Time, u64)| entry.0 == hold_until && !claimed.contains(&entry.1);
                 let unclaimed: Vec<u64> = due.iter().filter(unclaimed).map(|entry| entry.1).collect();
                 for seq in unclaimed {
                     due.reschedule(seq, now);
                 }
             }
             for set in lead.queues.callbacks.values_mut() {
-                let unclaimed: Vec<u64> = set.iter().filter(|(t, s)| *t == quiet && !claimed.contains(s)).map(|x| x.1).collect();
+                let unclaimed: Vec<u64> =
+                    set.iter().filter(|(t, s)| *t == hold_until && !claimed.contains(s)).map(|x| x.1).collect();
                 for seq in unclaimed {
-                    set.remove(&(quiet, seq));
+                    set.remove(&(hold_until, seq));
                     set.insert((now, seq));
                 }
             }
@@ -332,7 +333,7 @@
             lead.attempt_count += 1;
             let (epoch, attempt_id) = (lead.epoch, lead.attempt_count);
             let duty = Duty::TargetShard(String::new());
-            let flight = DispatchedAttempt {
+            let dispatched = DispatchedAttempt {
                 duty: duty.clone(),
                 delivery: to.clone(),
                 attempt: attempt_id,
@@ -341,7 +342,7 @@
                 incarnation,
                 deadline: now + (attempt + MAX_ROUTED_START_DELAY).percent(105),
             };
-            lead.queues.in_flight.insert(seq, flight);
+            lead.queues.in_flight.insert(seq, dispatched);
             let partition = partition.clone();
             return Some(Offer {
                 duty,
--- a/crates/queue/src/store/upkeep.rs
+++ b/crates/queue/src/store/upkeep.rs
@@ -19,12 +19,12 @@
             let Some(part) = self.partitions.get_mut(&partition) else { continue };
             let Some(lead) = part.leader_state.as_mut() else { continue };
             // Deferred successes whose other attempts are over by now.
-            let (quiet, lane) = (lead.hold_until, &lead.queues);
+            let (hold_until, queues) = (lead.hold_until, &lead.queues);
             let to_release: Vec<MessageId> = lead
                 .unpublished_successes
                 .iter()
-                .filter(|s| !lane.in_flight.contains_key(s) && !lane.is_held(**s, quiet, now))
-                .filter_map(|s| lane.ids.get(s).cloned())
+                .filter(|s| !queues.in_flight.contains_key(s) && !queues.is_held(**s, hold_until, now))
+                .filter_map(|s| queues.ids.get(s).cloned())
                 .collect();
             let mut to_drop = Vec::new();
             let mut expired = Vec::new();
@@ -89,8 +89,8 @@
                 .take(1000)
                 .collect();
             for id in expired {
-                self.held_bytes += part.remove_record(partition, &id, &mut self.ledger);
-                self.ledger.push(JournalEntry::Op {
+                self.held_bytes += part.remove_record(partition, &id, &mut self.journal);
+                self.journal.push(JournalEntry::Op {
                     partition: partition.clone(),
                     number: part.last_op,
                     op: PartitionOp::Remove(id),
@@ -119,8 +119,8 @@
     pub(super) fn unreachable_duties(&self, now: Time) -> Vec<Duty> {
         let unserved = self.unserved_since.iter().filter(|(_, t)| now.since(**t) >= Span::millis(1500)).map(|(d, _)| d.clone());
         // A delivery always reports an attempt's end, so one that does not is cut off.
-        // Moving an endpoint costs the rate share of the delivery that takes it over, so an
-        // endpoint needs two such attempts.
+        // Each move of an endpoint costs part of its rate, as the rate limiter of the new
+        // holder starts with nothing saved, so an endpoint needs two such attempts.
         let min_unreported = |d: &Duty| if matches!(d, Duty::Endpoint(_)) { 2 } else { 1 };
         let unreported = self.unreported_in_a_row.iter().filter(|(d, n)| **n >= min_unreported(d)).map(|(d, _)| d.clone());
         unserved.chain(unreported).collect::<BTreeSet<Duty>>().into_iter().collect()
@@ -129,10 +129,10 @@
     /// Rewrites the live records of the oldest file, a part at a time, so that the file
     /// can be removed. Bodies that are not in memory are read back for the next time.
     fn rewrite_oldest_file(&mut self) {
-        // A record's lines take some space beyond its body.
+        // A record's journal entries take some space beyond its body.
         let count: usize = self.partitions.values().map(|part| part.records.len()).sum();
         let live_bytes = self.held_bytes.max(0) as u64 + count as u64 * 400;
-        let Some((first, last)) = self.ledger.sparse_segment(live_bytes) else { return };
+        let Some((first, last)) = self.journal.sparse_segment(live_bytes) else { return };
         let (mut in_memory, mut on_disk) = (Vec::new(), Vec::new());
         let mut size = 0;
         for (partition, part) in &self.partitions {
